--- a/include/balsamwheel/detail/load/admission.h
+++ b/include/balsamwheel/detail/load/admission.h
@@ -1,4 +1,5 @@
-// The gate in front of one target: who runs now, who waits, who is refused.
+// Admission control in front of one target: whether a request runs now, waits
+// or is refused.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -13,18 +14,20 @@
 namespace balsamwheel {
 
 struct AdmissionOptions {
-  /// Most orders at the target at the same time.
+  /// Maximum number of requests in progress at the target.
   std::uint32_t m_Slots = 10;
-  /// Most requests waiting, over all classes.
+  /// Maximum number of waiting requests, over all classes.
   std::uint32_t m_QueueLimit = 200;
-  /// Slots kept for urgent requests, and for urgent and interactive ones.
+  /// Slots reserved for urgent requests.
   std::uint32_t m_ReservedUrgent = 1;
+  /// Further slots reserved for urgent and interactive requests.
   std::uint32_t m_ReservedInteractive = 2;
-  /// Limit right after a cold start.
+  /// Concurrency limit right after a cold start.
   std::uint32_t m_ColdSlots = 2;
-  /// Shortest time from m_ColdSlots to m_Slots after a cold start.
+  /// Minimum time in which the limit rises from m_ColdSlots to m_Slots after a
+  /// cold start.
   Duration m_ColdRamp = std::chrono::seconds(12);
-  /// False fixes the limit at m_Slots: the baseline.
+  /// If false, the limit is fixed at m_Slots.
   bool m_Adaptive = true;
 };
 
@@ -32,21 +35,22 @@
 
 struct AdmissionDecision {
   AdmissionVerdict m_Verdict = AdmissionVerdict::Refused;
-  /// For a refusal: when a slot is likely free.
+  /// For a refusal: time after which a slot is likely to be free.
   Duration m_RetryAfter{0};
 };
 
-/// What one order showed about the target.
+/// Result of one request that was sent to the target.
 struct OrderResult {
   Duration m_Latency{0};
   bool m_Failed = false;
   bool m_Shed = false;
 };
 
-/// Adaptive concurrency limit with class reservations and queues in deadline
-/// order. Pure; not thread-safe.
+/// Adaptive concurrency limit with slots reserved by class and one queue per
+/// class, ordered by deadline. Performs no I/O and reads no clock; not
+/// thread-safe.
 ///
-/// Invariants: running() never exceeds limit() at the moment of admission;
+/// Invariants: a request is admitted only while running() is below limit();
 /// limit() stays within [1, m_Slots].
 class AdmissionGate {
 public:
@@ -55,20 +59,25 @@
   AdmissionGate(AdmissionGate &&) noexcept;
   AdmissionGate &operator=(AdmissionGate &&) noexcept;
 
-  /// Offers a request. Complexity: logarithmic in the queue.
+  /// Admits, queues or refuses a request.
+  /// Complexity: logarithmic in the queue length.
   AdmissionDecision offer(RequestHandle Request, Urgency Class,
                           TimePoint Deadline, TimePoint Now);
-  /// Pops the next waiting request that may run now.
+  /// Removes and returns the next waiting request that may run now.
   std::optional<RequestHandle> next(TimePoint Now);
-  /// Removes waiting requests that can no longer meet their deadline.
+  /// Removes and returns the waiting requests that can no longer meet their
+  /// deadline.
   std::vector<RequestHandle> expire(TimePoint Now);
-  /// Withdraws a waiting request; false if it was not waiting.
+  /// Removes a waiting request; returns false if it was not waiting.
   bool withdraw(RequestHandle Request);
-  /// An admitted request ended; frees its slot.
+  /// Frees the slot of an admitted request that ended, and adapts the limit to
+  /// its result.
   void finished(Urgency Class, const OrderResult &Result, TimePoint Now);
-  /// An admitted request was never sent; frees its slot, teaches nothing.
+  /// Frees the slot of an admitted request that was never sent. The limit does
+  /// not change.
   void released(Urgency Class);
-  /// The target said it restarted, or reconnected after a loss.
+  /// To be called when the target reported a restart or reconnected after a
+  /// loss of its connection; falls back to the cold limit.
   void targetRestarted(TimePoint Now);
 
   std::uint32_t limit() const;
@@ -76,8 +85,8 @@
   std::size_t queued() const;
   /// Expected time for a new request of this class to get a slot.
   Duration expectedWait(Urgency Class) const;
-  /// When to call next() and expire() though nothing finished; the far future
-  /// when nothing waits.
+  /// Time at which to call next() and expire() even if no request has finished;
+  /// TimePoint::max() when nothing waits.
   TimePoint nextWake() const;
 
 private:
--- a/include/balsamwheel/detail/load/link_delay.h
+++ b/include/balsamwheel/detail/load/link_delay.h
@@ -1,8 +1,8 @@
-// How long frames of a peer waited on their way.
+// Estimates how long the frames of a peer were delayed on the network.
 //
-// Load pattern: large answers fill a machine's link, and requests that begin
-// on the machine wait behind them, for seconds at worst. Counted from their
-// arrival, their time limits would end after their callers have left.
+// Load pattern: large answers saturate a machine's link, and requests sent from
+// that machine wait behind them, for seconds at worst. If their time limits
+// were counted from arrival, they would end after the callers have left.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -13,34 +13,37 @@
 
 namespace balsamwheel {
 
-/// Tells the wait of each frame from the sender's own time on it: the clocks of
-/// two machines are apart by an unknown amount, but the quickest frame of late
-/// bounds it. Pure; not thread-safe.
+/// Derives the delay of each frame from the sender's timestamp. The offset
+/// between the two clocks is unknown, but the fastest recent frame gives an
+/// upper bound of it. Performs no I/O and reads no clock; not thread-safe.
 ///
-/// Invariant: no delay is below zero, and the quickest frame of the window has
-/// none.
+/// Invariant: no delay is negative, and the delay of the fastest frame in the
+/// window is zero.
 class LinkDelay {
 public:
-  /// Notes a frame and returns how much longer it took than the quickest one.
-  /// Complexity: constant.
+  /// Records a frame and returns how much longer it took than the fastest frame
+  /// of the window. Complexity: constant.
+  ///
+  /// \param SentAt sender's clock at sending, microseconds.
   Duration note(std::int64_t SentAt, TimePoint Now) {
-    const Duration Apart = Now.time_since_epoch() - Duration(SentAt);
+    const Duration Offset = Now.time_since_epoch() - Duration(SentAt);
     if (!m_WindowEnd || Now >= *m_WindowEnd) {
-      m_Previous = m_Present;
-      m_Present = Apart;
+      m_PreviousMin = m_CurrentMin;
+      m_CurrentMin = Offset;
       m_WindowEnd = Now + Window;
     }
-    m_Present = std::min(m_Present.value_or(Apart), Apart);
-    return Apart - std::min(*m_Present, m_Previous.value_or(*m_Present));
+    m_CurrentMin = std::min(m_CurrentMin.value_or(Offset), Offset);
+    return Offset - std::min(*m_CurrentMin, m_PreviousMin.value_or(*m_CurrentMin));
   }
 
 private:
-  /// The quickest frame counts for one to two of these: long enough to span a
-  /// busy spell, short enough for clocks whose rates differ by 100 ppm.
+  /// The minimum covers between one and two windows: long enough to outlast a
+  /// period of saturation, short enough that clocks whose rates differ by
+  /// 100 ppm cause no significant error.
   static constexpr Duration Window = std::chrono::seconds(60);
 
-  std::optional<Duration> m_Present;
-  std::optional<Duration> m_Previous;
+  std::optional<Duration> m_CurrentMin;
+  std::optional<Duration> m_PreviousMin;
   std::optional<TimePoint> m_WindowEnd;
 };
 
--- a/include/balsamwheel/detail/load/picker.h
+++ b/include/balsamwheel/detail/load/picker.h
@@ -1,5 +1,5 @@
-// Choice among targets of a service that is not divided by key, from what
-// this daemon saw of each.
+// Chooses among the targets of a service that is not divided by key, based on
+// the latencies and failures that this daemon has observed.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -14,7 +14,8 @@
 namespace balsamwheel {
 
 enum class PickPolicy : std::uint8_t {
-  /// The better of two random candidates by observed latency and in-flight.
+  /// The better of two random candidates by observed latency and requests in
+  /// flight.
   TwoChoices,
   LeastLoaded,
   RoundRobin,
@@ -23,13 +24,14 @@
 
 struct PickerOptions {
   PickPolicy m_Policy = PickPolicy::TwoChoices;
-  /// Share of idempotent requests that may be sent a second time.
+  /// Maximum number of hedges, as a fraction of the idempotent requests.
   double m_HedgeBudget = 0.03;
-  /// False sends no hedges.
+  /// If false, no hedges are sent.
   bool m_Hedge = true;
 };
 
-/// Keeps observations per candidate and picks. Pure; not thread-safe.
+/// Keeps statistics per candidate and picks one. Performs no I/O and reads no
+/// clock; not thread-safe.
 class Picker {
 public:
   Picker(PickerOptions Options, std::uint64_t Seed);
@@ -37,19 +39,21 @@
   Picker(Picker &&) noexcept;
   Picker &operator=(Picker &&) noexcept;
 
-  /// Picks one candidate, avoiding \p Avoid where another exists.
+  /// Picks a candidate, and one outside \p Avoid if there is any.
   ///
-  /// \returns none when \p Candidates is empty.
+  /// \returns std::nullopt when \p Candidates is empty.
   std::optional<SessionId> pick(std::span<const SessionId> Candidates,
                                 std::span<const SessionId> Avoid,
                                 TimePoint Now);
   void started(SessionId Target, TimePoint Now);
   void finished(SessionId Target, Duration Latency, bool Failed, TimePoint Now);
-  /// A request left before its answer, e.g. a hedge that lost.
+  /// Records a request that was given up before its answer, e.g. the slower one
+  /// of a hedged pair.
   void abandoned(SessionId Target, Duration Waited, TimePoint Now);
-  /// How long to wait before a hedge; none when the budget is spent.
+  /// Time to wait before sending a hedge; std::nullopt when the budget is
+  /// exhausted, too few latencies are known or hedging is off.
   std::optional<Duration> hedgeDelay(TimePoint Now) const;
-  /// Takes one hedge out of the budget; false when it is spent.
+  /// Takes one hedge from the budget; returns false when it is exhausted.
   bool takeHedge(TimePoint Now);
 
 private:
--- a/include/balsamwheel/detail/load/request_gate.h
+++ b/include/balsamwheel/detail/load/request_gate.h
@@ -1,14 +1,14 @@
-// The only gate in front of one target: what is sent now, what waits, what is
-// refused.
+// Admission control for all requests to one target: a request is sent now,
+// queued or refused.
 //
-// Load pattern: more work arrives than the target's slots finish within the
-// latency objectives, e.g. a burst, a hot stretch of keys, or a target that
-// turns slow. A queue that admits all of it makes every answer late; this one
-// admits what can still be answered within its objective and refuses the rest
-// at arrival, when the caller can still go elsewhere or come back.
+// Load pattern: more work arrives than the target's slots can finish within the
+// latency objectives, e.g. a burst, a hot range of keys, or a target that
+// became slow. A queue that accepts all of it makes every answer late; this one
+// accepts what can still be answered within its objective and refuses the rest
+// on arrival, while the caller can still use another target or retry later.
 //
-// Calls that a running request makes go before new requests: refusing one
-// wastes the slot that its parent holds.
+// Nested requests, i.e. those made by a running request, go before new ones:
+// refusing one wastes the slot that its parent occupies.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -23,51 +23,55 @@
 namespace balsamwheel {
 
 struct RequestGateOptions {
-  /// Part of a request's remaining time that the expected completion may take
-  /// at admission; the rest covers the spread of service times.
-  double m_AdmissionMargin = 0.7;
-  /// Part of the remaining time that a request may wait in any case, while it
-  /// can still be on time: a mean is inflated by a few slow requests.
-  double m_ShortWait = 0.12;
-  /// Part of the mean service time that a quick request takes.
-  double m_QuickService = 0.6;
-  /// Part of the time to its deadline that a request may wait once its
-  /// objective has passed.
+  /// Fraction of a request's remaining time that its expected wait and service
+  /// together may take at admission; the rest covers the variance of service
+  /// times.
+  double m_AdmissionShare = 0.7;
+  /// Fraction of the remaining time that a request may always wait while it can
+  /// still meet its objective: the mean service time is an overestimate when a
+  /// few requests are slow.
+  double m_MinWaitShare = 0.12;
+  /// Service time of a fast request, as a fraction of the mean service time.
+  double m_FastServiceShare = 0.6;
+  /// Fraction of the time left until the deadline, less the service time, that
+  /// a request may wait once its objective can no longer be met.
   double m_LateWaitShare = 0.1;
-  /// Part of the expected service time that a request must have left to be
-  /// worth a slot.
-  double m_LeastServiceLeft = 0.6;
-  /// Weight of the newest service time in the running mean.
+  /// Minimum time until the deadline for a request to be sent, as a fraction of
+  /// its expected service time.
+  double m_MinServiceShare = 0.6;
+  /// Smoothing factor: weight of the newest service time in the mean.
   double m_ServiceWeight = 0.1;
-  /// Weight of the newest gap between two starts from the queue.
+  /// Smoothing factor: weight of the newest interval between two starts from
+  /// the queue.
   double m_StartGapWeight = 0.1;
-  /// How long the gap between starts is believed after the last start from a
-  /// queue: as long as a burst takes to build up or to end.
-  Duration m_StartGapLife = std::chrono::seconds(1);
-  /// Service time assumed before any has been seen.
+  /// How long the mean interval between starts remains valid after the last
+  /// start from the queue: the time that a burst takes to build up or to end.
+  Duration m_StartGapLifetime = std::chrono::seconds(1);
+  /// Service time assumed before the first one is known.
   Duration m_InitialService = std::chrono::milliseconds(200);
-  /// Requests that a cold target may get at once, beyond its rate.
+  /// Token bucket size of a cold target: requests that it may get at once.
   double m_ColdBurst = 2;
-  /// How often expire() is called while requests wait.
+  /// Interval at which expire() is called while requests wait.
   Duration m_ExpireInterval = std::chrono::milliseconds(50);
-  /// Longest queue, in multiples of the slots.
-  std::uint32_t m_QueuePerSlot = 6;
-  Duration m_ShortestRetryAfter = std::chrono::milliseconds(50);
-  Duration m_LongestRetryAfter = std::chrono::seconds(2);
+  /// Maximum queue length per slot.
+  std::uint32_t m_QueueLimitPerSlot = 6;
+  Duration m_MinRetryAfter = std::chrono::milliseconds(50);
+  Duration m_MaxRetryAfter = std::chrono::seconds(2);
 };
 
-/// A request as the gate ranks it.
+/// The properties of a request that decide on its admission and order.
 struct GateRequest {
   RequestHandle m_Handle;
-  /// Requests of one route cost about the same.
+  /// Requests of one route have similar service times.
   std::string m_Route;
   /// 0 is the most urgent.
   std::uint32_t m_Priority = 0;
-  /// A running request waits for it. It is due by its deadline only.
+  /// Made by a running request that waits for the answer. Only the deadline
+  /// applies, not the objective.
   bool m_Nested = false;
-  /// Until then the answer is worth most.
+  /// Time by which the answer meets the latency objective.
   TimePoint m_Objective;
-  /// Until then it is worth anything.
+  /// Time after which the answer is of no use.
   TimePoint m_Deadline;
 };
 
@@ -77,49 +81,55 @@
   GateVerdict m_Verdict = GateVerdict::Refuse;
   /// Expected time until a slot is free for the request.
   Duration m_ExpectedWait{0};
-  /// For a refusal: when it is likely to be admitted.
+  /// For a refusal: time after which a retry is likely to be admitted.
   Duration m_RetryAfter{0};
 };
 
-/// Pure; not thread-safe. Invariants: running() grows only while it is below
-/// the slots and the gate is open; a request leaves the gate exactly once, by
-/// next(), expire(), withdraw() or shut().
+/// Performs no I/O and reads no clock; not thread-safe. Invariants: running()
+/// grows only while it is below slots() and the gate is open; a queued request
+/// leaves the queue exactly once, by next(), expire(), withdraw() or shut().
 class RequestGate {
 public:
   explicit RequestGate(RequestGateOptions Options) : m_Options(Options) {}
 
-  /// The target takes requests, this many at a time.
+  /// Opens the gate: the target accepts \p Slots concurrent requests.
   void open(std::uint32_t Slots);
-  /// Nothing more is sent. \returns what was waiting; none of it was sent.
+  /// Closes the gate: nothing more is sent.
+  ///
+  /// \returns the requests that were waiting; none of them was sent.
   std::vector<RequestHandle> shut();
   bool isOpen() const { return m_Slots > 0; }
-  /// The target bears only \p Rate requests a second until \p Until.
+  /// Limits the target, which is cold, to \p Rate requests per second until
+  /// \p Until.
   void limitRate(double Rate, TimePoint Until, TimePoint Now);
 
-  /// Offers a request. Send means that it takes a slot now.
-  /// Complexity: linear in the queue.
+  /// Admits, queues or refuses a request. GateVerdict::Send means that the
+  /// request occupies a slot from now on.
+  /// Complexity: linear in the queue length.
   GateDecision offer(const GateRequest &Request, TimePoint Now);
-  /// Takes the next waiting request that may be sent now.
+  /// Removes and returns the next waiting request that may be sent now.
   std::optional<RequestHandle> next(TimePoint Now);
-  /// Takes out waiting requests that can no longer be answered: their deadline
-  /// is too near, or their objective has passed and work that is on time is
-  /// waiting.
+  /// Removes and returns waiting requests that should not be sent any more:
+  /// their deadline is too near, or they can't meet their objective while
+  /// another waiting request can.
   std::vector<RequestHandle> expire(TimePoint Now);
-  /// Withdraws a waiting request; false if it was not waiting.
+  /// Removes a waiting request; returns false if it was not waiting.
   bool withdraw(RequestHandle Request);
-  /// A sent request ended. \p Served: its service time tells what the next
-  /// one of the route will take.
+  /// Frees the slot of a request that was sent and has ended.
+  ///
+  /// \param Served whether \p Service counts towards the expected service time
+  ///        of the route.
   void finished(const std::string &Route, Duration Service, bool Served);
 
   std::uint32_t running() const { return m_Running; }
   std::uint32_t slots() const { return m_Slots; }
   std::size_t waiting() const { return m_Waiting.size(); }
-  /// Mean service time over all routes, as they came lately.
+  /// Moving average of the service time over all routes.
   Duration meanService() const;
   Duration expectedService(const std::string &Route) const;
-  /// Requests a second while the target is cold; 0 without a limit.
+  /// Requests per second while the target is cold; 0 without a limit.
   double rateLimit(TimePoint Now) const;
-  /// When next() may have something though nothing finished.
+  /// Time at which next() may return a request even if none has finished.
   std::optional<TimePoint> nextWake(TimePoint Now) const;
 
 private:
@@ -128,41 +138,43 @@
     std::uint64_t m_Sequence;
   };
 
+  /// The deadline of a nested request, the objective of any other.
   TimePoint dueBy(const GateRequest &Request) const;
-  /// Whether a quick answer is in time.
-  bool onTime(const GateRequest &Request, TimePoint Now) const;
-  /// Its deadline comes before any answer can.
-  bool hopeless(const GateRequest &Request, TimePoint Now) const;
-  /// Longest time that it is worth waiting for.
-  Duration worthWaiting(const GateRequest &Request, TimePoint Now) const;
+  /// Whether a fast answer would still be in time for dueBy().
+  bool canBeOnTime(const GateRequest &Request, TimePoint Now) const;
+  /// Whether the deadline passes before any answer is possible.
+  bool cannotMeetDeadline(const GateRequest &Request, TimePoint Now) const;
+  /// Maximum time for which the request may be queued.
+  Duration maxWait(const GateRequest &Request, TimePoint Now) const;
   GateDecision refusal(Duration Wait) const;
   /// Whether \p Left is to be sent before \p Right.
-  bool before(const Waiting &Left, const Waiting &Right, TimePoint Now) const;
-  Duration waitBehind(std::size_t Ahead, TimePoint Now) const;
-  bool takeRate(TimePoint Now);
-  bool hasOrdinaryWaiting() const;
-  /// Learns from the start of a waiting request how fast the queue moves.
-  void noteStart(TimePoint Now);
-  double ratePermits(TimePoint Now) const;
+  bool precedes(const Waiting &Left, const Waiting &Right, TimePoint Now) const;
+  Duration expectedWait(std::size_t Ahead, TimePoint Now) const;
+  bool takePermit(TimePoint Now);
+  bool hasNonNestedWaiting() const;
+  /// Updates m_StartGap at the start of a request from the queue.
+  void recordStart(TimePoint Now);
+  double availablePermits(TimePoint Now) const;
 
   RequestGateOptions m_Options;
   std::uint32_t m_Slots = 0;
   std::uint32_t m_Running = 0;
   std::uint64_t m_NextSequence = 0;
   std::vector<Waiting> m_Waiting;
-  /// Running means, in microseconds.
+  /// Moving averages by route, in microseconds.
   std::map<std::string, double> m_Service;
+  /// Over all routes, in microseconds; 0 before the first sample.
   double m_MeanService = 0;
-  /// Mean time between two starts of requests from the queue that are no calls
-  /// of running ones, in microseconds: what calls, failed runs and slow ones
-  /// leave of the slots. 0 when it isn't known.
+  /// Mean interval between two starts of non-nested requests from the queue, in
+  /// microseconds; 0 when unknown. It accounts for the slot time that nested,
+  /// failed and slow requests take.
   double m_StartGap = 0;
   TimePoint m_LastStart;
-  /// Such requests have been waiting ever since the last start.
+  /// Non-nested requests have been waiting ever since the last start.
   bool m_Backlogged = false;
   double m_Rate = 0;
   TimePoint m_RateUntil;
-  /// Requests that the rate allows now; at most the burst.
+  /// Tokens in the bucket at m_PermitsAt; at most m_ColdBurst.
   double m_Permits = 0;
   TimePoint m_PermitsAt;
 };
--- a/include/balsamwheel/detail/load/retry_budget.h
+++ b/include/balsamwheel/detail/load/retry_budget.h
@@ -1,4 +1,4 @@
-// A token bucket that keeps retries a bounded share of the requests.
+// Token bucket that limits retries to a fraction of the requests.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -8,25 +8,28 @@
 namespace balsamwheel {
 
 struct RetryBudgetOptions {
-  /// Retries allowed per first attempt. With the burst on top, the load stays
-  /// under 1.1 times the first attempts over any 2,000 of them.
+  /// Retries allowed per first attempt. Together with the burst, the load stays
+  /// below 1.1 times the first attempts over any 2,000 of them.
   double m_Ratio = 0.09;
-  /// Retries that may be saved up.
+  /// Bucket size: maximum number of retries that can be saved up.
   double m_Burst = 20;
+  /// Upper bound of the delay before the first retry.
   Duration m_BaseDelay = std::chrono::milliseconds(5);
+  /// Upper bound of any delay.
   Duration m_MaxDelay = std::chrono::milliseconds(200);
 };
 
-/// Pure; not thread-safe. Invariant: the balance stays within [0, m_Burst].
+/// Performs no I/O and reads no clock; not thread-safe. Invariant: the balance
+/// stays within [0, m_Burst].
 class RetryBudget {
 public:
   explicit RetryBudget(RetryBudgetOptions Options);
 
   /// Credits the budget for a first attempt.
   void onFirstAttempt();
-  /// Takes one retry; false when the budget is spent.
+  /// Takes one retry from the budget; returns false when it is exhausted.
   bool takeRetry();
-  /// Exponential delay with full jitter.
+  /// Delay before a retry: exponential back-off with full jitter.
   ///
   /// \param Attempt 1 for the first retry.
   /// \param Random uniform 64-bit number.
--- a/include/balsamwheel/detail/load/shard_rates.h
+++ b/include/balsamwheel/detail/load/shard_rates.h
@@ -1,4 +1,4 @@
-// Request rates of the shards and hot keys of one owner.
+// Request rates of one owner's shards and of its most requested keys.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -12,43 +12,45 @@
 namespace balsamwheel {
 
 struct ShardRatesOptions {
-  /// Time in which an old request's weight falls by a factor e.
+  /// Time constant: the weight of a request decays by a factor of e in it.
   Duration m_Decay = std::chrono::seconds(5);
-  /// Keys that are followed one by one.
+  /// Number of keys with a counter of their own.
   std::size_t m_Keys = 256;
 };
 
 struct ShardRate {
   ShardRef m_Shard;
-  /// Requests a second, smoothed.
+  /// Requests per second, smoothed.
   double m_Rate = 0;
 };
 
 struct KeyRate {
   KeyHash m_Key;
-  /// Requests a second, smoothed; an upper bound.
+  /// Requests per second, smoothed; an upper bound.
   double m_Rate = 0;
-  /// How much of the rate may belong to other keys.
+  /// Maximum part of m_Rate that may belong to other keys.
   double m_Error = 0;
 };
 
-/// Exponentially decaying request rates. Pure; not thread-safe.
+/// Exponentially decaying request rates. Performs no I/O and reads no clock;
+/// not thread-safe.
 class ShardRates {
 public:
   explicit ShardRates(ShardRatesOptions Options = {});
 
-  /// Counts one request. Complexity: logarithmic in the followed keys.
+  /// Counts one request. Complexity: logarithmic in m_Keys.
   void record(const ShardRef &Shard, KeyHash Key, TimePoint Now);
-  /// Forgets a shard that left this owner.
+  /// Drops the counter of a shard that this owner gave up.
   void forget(const ShardRef &Shard);
 
-  /// Returns up to \p Count shards, the hottest first.
+  /// Returns up to \p Count shards in descending order of rate.
   ///
-  /// Complexity: linear in the shards with requests.
+  /// Complexity: linear in the number of shards with requests.
   std::vector<ShardRate> hottestShards(std::size_t Count, TimePoint Now) const;
-  /// Returns up to \p Count keys, the hottest first, as of the last request.
+  /// Returns up to \p Count keys in descending order of rate, as of the last
+  /// request.
   std::vector<KeyRate> hottestKeys(std::size_t Count) const;
-  /// Requests a second over all shards.
+  /// Requests per second over all shards.
   double totalRate(TimePoint Now) const;
 
 private:
@@ -57,8 +59,9 @@
   void rescale(TimePoint Now);
 
   ShardRatesOptions m_Options;
-  // Requests weigh more the later they come; rates divide by the weight of the
-  // present, so that nothing has to be decayed one by one.
+  // Forward decay: the weight of a request grows exponentially with its time
+  // since the landmark, and rates are divided by the weight at the time of the
+  // query, so that the counters need not be decayed individually.
   TimePoint m_Landmark;
   TimePoint m_LastRecord;
   bool m_Started = false;
--- a/include/balsamwheel/detail/load/sketch.h
+++ b/include/balsamwheel/detail/load/sketch.h
@@ -1,4 +1,4 @@
-// Heavy hitters of a stream in bounded memory.
+// Finds the heavy hitters of a stream in bounded memory.
 #pragma once
 
 #include <cstddef>
@@ -10,43 +10,44 @@
 
 namespace balsamwheel {
 
-/// Space-saving sketch: keeps the weights of the heaviest items.
+/// Space-Saving sketch: keeps the weights of the heaviest items.
 ///
-/// Invariants: holds at most the capacity; an item's estimate is at least its
-/// true weight and exceeds it by at most its error, which is at most the total
-/// weight divided by the capacity. So every item heavier than that is held.
+/// Invariants: at most Capacity items are held; the estimate of an item is at
+/// least its true weight and exceeds it by at most its error, which is at most
+/// the total weight divided by the capacity. Hence every item heavier than that
+/// quotient is held. Not thread-safe.
 ///
 /// \tparam Item hashable and ordered.
-/// Not thread-safe.
 template <typename Item> class HeavyHitters {
 public:
   struct Counter {
     Item m_Item{};
     double m_Weight = 0;
-    /// How much of the weight may belong to other items.
+    /// Maximum part of m_Weight that may belong to other items.
     double m_Error = 0;
   };
 
-  /// \param Capacity items that are held, at least 1.
+  /// \param Capacity maximum number of items held; 0 counts as 1.
   explicit HeavyHitters(std::size_t Capacity)
       : m_Capacity(Capacity > 0 ? Capacity : 1) {}
 
-  /// Complexity: logarithmic in the capacity.
-  void record(const Item &Seen, double Weight) {
+  /// Adds \p Weight to an item, which replaces the lightest one if it isn't
+  /// held and the sketch is full. Complexity: logarithmic in the capacity.
+  void record(const Item &Value, double Weight) {
     m_Total += Weight;
-    const auto Found = m_Counts.find(Seen);
+    const auto Found = m_Counts.find(Value);
     if (Found != m_Counts.end())
-      return set(Seen, Found->second.m_Weight + Weight, Found->second.m_Error);
+      return set(Value, Found->second.m_Weight + Weight, Found->second.m_Error);
     double Inherited = 0;
     if (m_Counts.size() >= m_Capacity) {
       Inherited = m_ByWeight.begin()->first;
       m_Counts.erase(m_ByWeight.begin()->second);
       m_ByWeight.erase(m_ByWeight.begin());
     }
-    set(Seen, Inherited + Weight, Inherited);
+    set(Value, Inherited + Weight, Inherited);
   }
 
-  /// Returns up to \p Count items, the heaviest first.
+  /// Returns up to \p Count items in descending order of weight.
   std::vector<Counter> top(std::size_t Count) const {
     std::vector<Counter> Result;
     for (auto Next = m_ByWeight.rbegin();
@@ -77,17 +78,17 @@
   };
 
   void set(const Item &Held, double Weight, double Error) {
-    const auto [Place, Added] = m_Counts.try_emplace(Held);
+    const auto [Position, Added] = m_Counts.try_emplace(Held);
     if (!Added)
-      m_ByWeight.erase({Place->second.m_Weight, Held});
-    Place->second = {Weight, Error};
+      m_ByWeight.erase({Position->second.m_Weight, Held});
+    Position->second = {Weight, Error};
     m_ByWeight.emplace(Weight, Held);
   }
 
   std::size_t m_Capacity;
   double m_Total = 0;
   std::unordered_map<Item, Count> m_Counts;
-  // The same items as in m_Counts, lightest first.
+  // The same items as in m_Counts, in ascending order of weight.
   std::set<std::pair<double, Item>> m_ByWeight;
 };
 
--- a/include/balsamwheel/detail/load/target_board.h
+++ b/include/balsamwheel/detail/load/target_board.h
@@ -1,9 +1,10 @@
-// Choice of a target for a request whose service is not divided by key.
+// Chooses a target for a request whose service is not divided by key.
 //
-// Load pattern: targets of one service differ in speed, and some turn slow or
-// fail for a while, whatever their health check says. The entrance sends each
-// request where it is expected to be complete first, from the gates' own
-// reports and from what it has sent since, among a few drawn at random.
+// Load pattern: targets of one service differ in speed, and some become slow or
+// fail for a while even though their health checks pass. Out of a few targets
+// drawn at random, the entrance chooses the one with the least expected
+// completion time, based on the reports of the gates and on what it has sent
+// since those reports.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -17,76 +18,82 @@
 namespace balsamwheel {
 
 struct TargetBoardOptions {
-  /// Targets drawn at random, of which the best is taken. All entrances see the
-  /// same reports, some tenths of a second old: without the draw they would all
-  /// send to the same target until the next report.
-  std::size_t m_Sample = 3;
-  /// Extra time that a target in another failure domain counts for a request
-  /// with a large answer, as a part of its service time.
+  /// Number of targets drawn at random, of which the best is chosen. All
+  /// entrances see the same reports, which are some tenths of a second old:
+  /// without sampling they would all send to the same target until the next
+  /// report.
+  std::size_t m_SampleSize = 3;
+  /// Cost added to a target in another failure domain for a request with a
+  /// large answer, as a multiple of the target's service time.
   double m_RemoteDownloadPenalty = 1.0;
-  /// Weight of the newest outcome in a target's failure share.
+  /// Smoothing factor: weight of the newest outcome in a target's failure rate.
   double m_FailureWeight = 0.15;
-  /// A target that fails this share of its requests counts as this many times
-  /// slower, see expectedCompletion().
+  /// The expected completion time of a target is multiplied by 1 plus this
+  /// factor times its failure rate, see expectedCompletion().
   double m_FailureFactor = 8;
-  /// Time by which old failures lose half of their weight.
+  /// Half-life of the failure rate.
   Duration m_FailureHalfLife = std::chrono::seconds(3);
 };
 
-/// What a gate says of itself.
+/// State of a gate as it reports it to other instances.
 struct GateReport {
   std::uint32_t m_Running = 0;
   std::uint32_t m_Waiting = 0;
-  /// 0 means that the gate is shut.
+  /// 0 means that the gate is closed.
   std::uint32_t m_Slots = 0;
+  /// Mean service time.
   Duration m_Service{0};
-  /// Requests a second that a cold target bears; 0 means no limit.
+  /// Requests per second that a cold target accepts; 0 means no limit.
   double m_RateLimit = 0;
-  /// How long large answers wait for the machine's link.
+  /// Expected wait of a large answer for the link of the target's machine.
   Duration m_LinkWait{0};
 };
 
-/// Pure; not thread-safe.
+/// Performs no I/O and reads no clock; not thread-safe.
 class TargetBoard {
 public:
   explicit TargetBoard(TargetBoardOptions Options) : m_Options(Options) {}
 
   void report(const InstanceName &Target, const GateReport &Report);
   void forget(const InstanceName &Target);
-  /// A request was passed on to the target's gate.
+  /// Records that a request was forwarded to the target's gate.
   void sent(const InstanceName &Target);
-  /// It came back; \p Failed when the target spoiled it.
+  /// Records the end of a forwarded request.
+  ///
+  /// \param Failed whether the target caused it to fail.
   void done(const InstanceName &Target, bool Failed, TimePoint Now);
 
   struct Candidate {
     InstanceName m_Target;
     bool m_SameDomain = false;
-    /// On the caller's own machine: no link is used.
+    /// On the caller's machine: the answer needs no network link.
     bool m_Local = false;
   };
 
-  /// The candidate with the least expected completion whose gate is open, of a
-  /// sample.
+  /// Draws a sample of the candidates whose gates are open and returns the one
+  /// with the lowest cost; std::nullopt when no gate is open.
   ///
-  /// \param Random seeds the draw.
+  /// \param Random seed of the sample.
   std::optional<InstanceName> choose(std::span<const Candidate> Candidates,
                                      bool LargeAnswer, std::uint64_t Random,
                                      TimePoint Now) const;
-  /// None when the target's gate is shut or unknown.
+  /// Expected time until one more request would be complete, increased by the
+  /// target's failure rate; std::nullopt when its gate is closed or unknown.
   std::optional<Duration> expectedCompletion(const InstanceName &Target,
                                              TimePoint Now) const;
 
 private:
   struct Entry {
     GateReport m_Report;
-    /// Passed on since the last report.
-    std::uint32_t m_SentSince = 0;
-    double m_FailureShare = 0;
-    TimePoint m_FailureAt;
+    /// Requests forwarded since the last report.
+    std::uint32_t m_SentSinceReport = 0;
+    /// Failure rate as of m_FailureRateAt, within [0, 1].
+    double m_FailureRate = 0;
+    TimePoint m_FailureRateAt;
   };
 
-  double cost(const Candidate &Of, bool LargeAnswer, Duration Completion) const;
-  double failureShare(const Entry &Of, TimePoint Now) const;
+  double cost(const Candidate &Option, bool LargeAnswer, Duration Completion) const;
+  double failureRate(const Entry &Target, TimePoint Now) const;
 
   TargetBoardOptions m_Options;
   std::map<InstanceName, Entry> m_Entries;
--- a/src/load/admission.cpp
+++ b/src/load/admission.cpp
@@ -1,4 +1,4 @@
-// The gate in front of one target: slots by class, queues, refusals.
+// Admission control in front of one target: slots by class, queues, refusals.
 #include "balsamwheel/detail/load/admission.h"
 
 #include "load/class_queues.h"
@@ -15,13 +15,14 @@
 constexpr std::array<Urgency, UrgencyCount> ByUrgency{
     Urgency::Urgent, Urgency::Interactive, Urgency::Bulk};
 
-/// Shares of the queue that a class and those below it may fill.
+/// Fraction of m_QueueLimit that a class and the less urgent ones may fill
+/// together, by class.
 constexpr std::array<double, UrgencyCount> QueueShare{1.0, 0.75, 0.5};
 
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(1);
 
-/// Slots stay reserved this long after the last request they are meant for.
-constexpr Duration ReserveMemory = std::chrono::seconds(10);
+/// Slots stay reserved for a class for this long after its last request.
+constexpr Duration ReservationTime = std::chrono::seconds(10);
 
 std::size_t index(Urgency Class) { return static_cast<std::size_t>(Class); }
 
@@ -31,7 +32,7 @@
 public:
   Impl(AdmissionOptions Options, TimePoint Now)
       : m_Options(Options), m_Limit(Options, Now), m_Now(Now) {
-    m_LastOffer.fill(Now - ReserveMemory);
+    m_LastOffer.fill(Now - ReservationTime);
   }
 
   AdmissionDecision offer(RequestHandle Request, Urgency Class,
@@ -53,24 +54,27 @@
   AdmissionDecision refusal(Urgency Class, Duration Wait) const;
   bool canStart(Urgency Class) const;
   std::uint32_t slotsOpenTo(Urgency Class) const;
-  bool isExpected(Urgency Class) const;
+  /// Whether a request of the class arrived within ReservationTime.
+  bool recentlyOffered(Urgency Class) const;
+  /// Running requests of this class and the more urgent ones.
   std::uint32_t runningUpTo(Urgency Class) const;
+  /// Running requests of this class and the less urgent ones.
   std::uint32_t runningFrom(Urgency Class) const;
   bool queueHasRoom(Urgency Class) const;
   void start(Urgency Class, TimePoint Now);
-  void dropDoomed(Urgency Class, TimePoint Now);
+  void moveExpired(Urgency Class, TimePoint Now);
   Duration serviceTime(Urgency Class) const;
-  Duration timeNeeded(Urgency Class) const;
+  Duration requiredTime(Urgency Class) const;
 
   AdmissionOptions m_Options;
   ConcurrencyLimit m_Limit;
   ClassQueues m_Queues;
   std::array<std::uint32_t, UrgencyCount> m_Running{};
-  // Taken out of the queue because their deadline can't be met; expire()
-  // hands them over.
-  std::vector<RequestHandle> m_Doomed;
+  // Removed from the queues because their deadline can't be met; returned by
+  // the next call of expire().
+  std::vector<RequestHandle> m_Expired;
   std::array<TimePoint, UrgencyCount> m_LastOffer;
-  // The latest time that was passed in.
+  // The last value of Now that was passed to a member function.
   TimePoint m_Now;
 };
 
@@ -86,18 +90,19 @@
     return {AdmissionVerdict::Run, Duration(0)};
   }
 
-  m_Limit.noteSaturated();
+  m_Limit.markSaturated();
   const Duration Wait = expectedWait(Class);
   if (!queueHasRoom(Class))
     return refusal(Class, Wait);
-  const Duration Late = Wait + timeNeeded(Class) - (Deadline - Now);
+  const Duration Late = Wait + requiredTime(Class) - (Deadline - Now);
   if (Late > Duration(0))
     return refusal(Class, std::min(Late, Wait));
   m_Queues.push(Request, Class, Deadline);
   return {AdmissionVerdict::Queued, Duration(0)};
 }
 
-// The queue shortens only when an order ends, so one more is waited for.
+// The queue gets shorter only when a running request ends, so the service time
+// of one more request is added.
 AdmissionDecision AdmissionGate::Impl::refusal(Urgency Class,
                                                Duration Wait) const {
   return {AdmissionVerdict::Refused,
@@ -107,11 +112,11 @@
 std::optional<RequestHandle> AdmissionGate::Impl::next(TimePoint Now) {
   m_Now = Now;
   for (const Urgency Class : ByUrgency) {
-    dropDoomed(Class, Now);
+    moveExpired(Class, Now);
     if (m_Queues.size(Class) == 0)
       continue;
     if (!canStart(Class)) {
-      m_Limit.noteSaturated();
+      m_Limit.markSaturated();
       continue;
     }
     start(Class, Now);
@@ -123,12 +128,12 @@
 std::vector<RequestHandle> AdmissionGate::Impl::expire(TimePoint Now) {
   m_Now = Now;
   for (const Urgency Class : ByUrgency)
-    dropDoomed(Class, Now);
-  return std::exchange(m_Doomed, {});
+    moveExpired(Class, Now);
+  return std::exchange(m_Expired, {});
 }
 
 bool AdmissionGate::Impl::withdraw(RequestHandle Request) {
-  return m_Queues.erase(Request) || std::erase(m_Doomed, Request) > 0;
+  return m_Queues.erase(Request) || std::erase(m_Expired, Request) > 0;
 }
 
 void AdmissionGate::Impl::finished(Urgency Class, const OrderResult &Result,
@@ -157,11 +162,12 @@
     if (Ahead <= Class)
       Work +=
           serviceTime(Ahead) * static_cast<Duration::rep>(m_Queues.size(Ahead));
-  // Pressing classes take slots of this one once their own are full.
-  const std::uint32_t Kept = limit() - Open;
-  const std::uint32_t Above = runningUpTo(Class) - m_Running.at(index(Class));
-  const std::uint32_t Lost = Above > Kept ? Above - Kept : 0;
-  return Work / static_cast<Duration::rep>(Open > Lost ? Open - Lost : 1);
+  // More urgent classes take slots of this one once their reserved ones are
+  // occupied.
+  const std::uint32_t Reserved = limit() - Open;
+  const std::uint32_t MoreUrgent = runningUpTo(Class) - m_Running.at(index(Class));
+  const std::uint32_t Taken = MoreUrgent > Reserved ? MoreUrgent - Reserved : 0;
+  return Work / static_cast<Duration::rep>(Open > Taken ? Open - Taken : 1);
 }
 
 TimePoint AdmissionGate::Impl::nextWake() const {
@@ -172,29 +178,29 @@
   return m_Now < Resume ? std::min(*Deadline, Resume) : *Deadline;
 }
 
-// Urgent requests may use every slot, others all but the reserved ones. A
-// small limit keeps one slot that every class may use.
+// Urgent requests may use every slot, other classes all but those reserved for
+// more urgent ones. Even if the limit is small, each class may use one slot.
 std::uint32_t AdmissionGate::Impl::slotsOpenTo(Urgency Class) const {
   std::uint32_t Reserved = 0;
-  if (Class > Urgency::Urgent && isExpected(Urgency::Urgent))
+  if (Class > Urgency::Urgent && recentlyOffered(Urgency::Urgent))
     Reserved += m_Options.m_ReservedUrgent;
-  if (Class > Urgency::Interactive && isExpected(Urgency::Interactive))
+  if (Class > Urgency::Interactive && recentlyOffered(Urgency::Interactive))
     Reserved += m_Options.m_ReservedInteractive;
   const std::uint32_t Limit = limit();
   return Limit > Reserved ? Limit - Reserved : 1;
 }
 
-bool AdmissionGate::Impl::isExpected(Urgency Class) const {
-  return m_Now - m_LastOffer.at(index(Class)) < ReserveMemory;
+bool AdmissionGate::Impl::recentlyOffered(Urgency Class) const {
+  return m_Now - m_LastOffer.at(index(Class)) < ReservationTime;
 }
 
-// With a single slot, bulk runs only while no urgent request is expected.
+// With a single slot, bulk requests run only while no urgent one is expected.
 bool AdmissionGate::Impl::canStart(Urgency Class) const {
   if (running() >= limit() || runningFrom(Class) >= slotsOpenTo(Class))
     return false;
   if (m_Now < m_Limit.pausedUntil())
     return false;
-  return Class != Urgency::Bulk || limit() > 1 || !isExpected(Urgency::Urgent);
+  return Class != Urgency::Bulk || limit() > 1 || !recentlyOffered(Urgency::Urgent);
 }
 
 std::uint32_t AdmissionGate::Impl::runningUpTo(Urgency Class) const {
@@ -221,19 +227,19 @@
 }
 
 void AdmissionGate::Impl::start(Urgency Class, TimePoint Now) {
-  m_Limit.noteStart(Now);
+  m_Limit.recordStart(Now);
   ++m_Running.at(index(Class));
   if (running() >= limit())
-    m_Limit.noteSaturated();
+    m_Limit.markSaturated();
 }
 
-void AdmissionGate::Impl::dropDoomed(Urgency Class, TimePoint Now) {
+void AdmissionGate::Impl::moveExpired(Urgency Class, TimePoint Now) {
   const TimePoint Earliest = Now + m_Limit.trend(Class).baseline();
-  while (const auto Doomed = m_Queues.popDueBefore(Class, Earliest))
-    m_Doomed.push_back(*Doomed);
+  while (const auto Expired = m_Queues.popDueBefore(Class, Earliest))
+    m_Expired.push_back(*Expired);
 }
 
-// A class without samples borrows from the nearest one that has some.
+// A class without samples uses the largest mean of the other classes.
 Duration AdmissionGate::Impl::serviceTime(Urgency Class) const {
   const Duration Own = m_Limit.trend(Class).recentMean();
   if (Own > Duration(0))
@@ -244,7 +250,7 @@
   return Longest;
 }
 
-Duration AdmissionGate::Impl::timeNeeded(Urgency Class) const {
+Duration AdmissionGate::Impl::requiredTime(Urgency Class) const {
   return m_Limit.trend(Class).recentMean() + m_Limit.trend(Class).deviation();
 }
 
--- a/src/load/class_queues.cpp
+++ b/src/load/class_queues.cpp
@@ -1,4 +1,4 @@
-// Queues in deadline order, one per class.
+// Waiting requests by class, in deadline order.
 #include "load/class_queues.h"
 
 namespace balsamwheel {
@@ -8,16 +8,16 @@
   const Entry Added{.m_Deadline = Deadline,
                     .m_Sequence = m_NextSequence++,
                     .m_Request = Request};
-  if (m_Where.try_emplace(Request, Place{Class, Added}).second)
+  if (m_Places.try_emplace(Request, Place{Class, Added}).second)
     queue(Class).insert(Added);
 }
 
 bool ClassQueues::erase(RequestHandle Request) {
-  const auto Found = m_Where.find(Request);
-  if (Found == m_Where.end())
+  const auto Found = m_Places.find(Request);
+  if (Found == m_Places.end())
     return false;
   queue(Found->second.m_Class).erase(Found->second.m_Entry);
-  m_Where.erase(Found);
+  m_Places.erase(Found);
   return true;
 }
 
@@ -38,7 +38,7 @@
     return std::nullopt;
   const RequestHandle First = Waiting.begin()->m_Request;
   Waiting.erase(Waiting.begin());
-  m_Where.erase(First);
+  m_Places.erase(First);
   return First;
 }
 
--- a/src/load/class_queues.h
+++ b/src/load/class_queues.h
@@ -1,4 +1,5 @@
-// The waiting requests of one gate: a queue in deadline order per class.
+// The waiting requests of one admission gate: one queue per class, ordered by
+// deadline.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -13,26 +14,27 @@
 
 namespace balsamwheel {
 
-/// Not thread-safe. All operations are logarithmic in the queue.
+/// Not thread-safe. Modifying operations are logarithmic in the queue length.
 class ClassQueues {
 public:
+  /// Adds a request; does nothing if it is in a queue already.
   void push(RequestHandle Request, Urgency Class, TimePoint Deadline);
-  /// Removes a request wherever it waits; false if it does not.
+  /// Removes a request from its queue; returns false if it is in none.
   bool erase(RequestHandle Request);
-  /// Removes the request of a class that is due first.
+  /// Removes the request of a class with the earliest deadline.
   std::optional<RequestHandle> popFirst(Urgency Class);
-  /// Removes the first request of a class if it is due before \p Limit.
+  /// Removes the first request of a class if its deadline is before \p Limit.
   std::optional<RequestHandle> popDueBefore(Urgency Class, TimePoint Limit);
 
-  /// The earliest deadline over all classes; none when nothing waits.
+  /// The earliest deadline over all classes; std::nullopt when nothing waits.
   std::optional<TimePoint> firstDeadline() const;
-  std::size_t size() const { return m_Where.size(); }
+  std::size_t size() const { return m_Places.size(); }
   std::size_t size(Urgency Class) const { return queue(Class).size(); }
 
 private:
   struct Entry {
     TimePoint m_Deadline;
-    /// Order of arrival among equal deadlines.
+    /// Order of arrival; decides between equal deadlines.
     std::uint64_t m_Sequence = 0;
     RequestHandle m_Request;
 
@@ -49,8 +51,8 @@
   std::optional<RequestHandle> takeFront(Queue &Waiting);
 
   std::array<Queue, UrgencyCount> m_Queues;
-  // Holds exactly the requests that stand in one of the queues.
-  std::unordered_map<RequestHandle, Place> m_Where;
+  // Holds exactly the requests that are in one of the queues.
+  std::unordered_map<RequestHandle, Place> m_Places;
   std::uint64_t m_NextSequence = 0;
 };
 
--- a/src/load/concurrency_limit.cpp
+++ b/src/load/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-// The concurrency limit of one target.
+// Adaptive concurrency limit of one target.
 #include "load/concurrency_limit.h"
 
 #include <algorithm>
@@ -7,26 +7,34 @@
 
 namespace {
 
-/// Shortest time between two rises of the limit.
-constexpr Duration RisePeriod = std::chrono::milliseconds(100);
-/// A limit unused for this long is no longer trusted.
-constexpr Duration IdleReset = std::chrono::seconds(10);
-/// A latency jump this soon after an error means a restart.
-constexpr Duration TroubleMemory = std::chrono::seconds(1);
-constexpr std::uint32_t FailuresOfRestart = 3;
-constexpr std::uint32_t ShedsOfRestart = 3;
-constexpr std::uint32_t MinWindow = 8;
-constexpr std::uint32_t MaxWindow = 16;
+/// Minimum time between two increases of the limit, and from a decrease to the
+/// next increase.
+constexpr Duration IncreaseInterval = std::chrono::milliseconds(100);
+/// After this time without requests the limit is reset to the cold limit.
+constexpr Duration IdleResetTime = std::chrono::seconds(10);
+/// A jump of the latency within this time after an error indicates a restart.
+constexpr Duration RecentErrorTime = std::chrono::seconds(1);
+/// Consecutive failures or sheds that indicate a restart.
+constexpr std::uint32_t RestartFailures = 3;
+constexpr std::uint32_t RestartSheds = 3;
+/// Bounds of the latency window, in samples.
+constexpr std::uint32_t MinWindowSamples = 8;
+constexpr std::uint32_t MaxWindowSamples = 16;
+/// The limit is multiplied by this when the target sheds a request.
 constexpr double ShedFactor = 0.7;
-/// Bounds of the decrease for latency, and the ratio it aims for.
-constexpr double StrongestDecrease = 0.2;
-constexpr double WeakestDecrease = 0.8;
-constexpr double AimedRatio = 1.3;
-/// A ratio that may mean that the target turned cold.
+/// Bounds of the factor by which the limit is decreased on congestion, and the
+/// ratio of latency to baseline that the decrease aims for.
+constexpr double MinDecreaseFactor = 0.2;
+constexpr double MaxDecreaseFactor = 0.8;
+constexpr double DesiredRatio = 1.3;
+/// A ratio of latency to baseline above this may mean that the target became
+/// cold.
 constexpr double ColdRatio = 2.2;
-/// Congested verdicts in a row at the cold limit that show another reason.
-constexpr std::uint32_t VerdictsOfSlowness = 3;
-constexpr Duration FirstPause = std::chrono::milliseconds(10);
+/// Consecutive congested verdicts at the cold limit after which the target is
+/// taken to be slow for another reason than congestion.
+constexpr std::uint32_t SlowTargetVerdicts = 3;
+/// Duration of the first pause; each further one is twice as long.
+constexpr Duration InitialPause = std::chrono::milliseconds(10);
 constexpr std::uint32_t MaxPauseDoublings = 4;
 
 } // namespace
@@ -34,14 +42,14 @@
 ConcurrencyLimit::ConcurrencyLimit(const AdmissionOptions &Options,
                                    TimePoint Now)
     : m_Options(Options), m_Limit(std::max(Options.m_Slots, 1U)),
-      m_LastDecrease(Now), m_LastRise(Now), m_LastActivity(Now),
-      m_LastTrouble(Now - TroubleMemory), m_PausedUntil(Now) {
+      m_LastDecrease(Now), m_LastIncrease(Now), m_LastActivity(Now),
+      m_LastError(Now - RecentErrorTime), m_PausedUntil(Now) {
   m_Options.m_Slots = m_Limit;
   enterCold(Now);
 }
 
-void ConcurrencyLimit::noteStart(TimePoint Now) {
-  if (m_Options.m_Adaptive && Now - m_LastActivity > IdleReset)
+void ConcurrencyLimit::recordStart(TimePoint Now) {
+  if (m_Options.m_Adaptive && Now - m_LastActivity > IdleResetTime)
     m_Limit = std::min(m_Limit, coldLimit());
   m_LastActivity = Now;
 }
@@ -51,11 +59,11 @@
   m_LastActivity = Now;
   const bool Stale = Now - Result.m_Latency < m_LastDecrease;
   if (Result.m_Failed || Result.m_Shed)
-    m_LastTrouble = Now;
+    m_LastError = Now;
   if (!m_Options.m_Adaptive) {
     if (!Result.m_Failed && !Result.m_Shed)
       m_Trends.at(static_cast<std::size_t>(Class))
-          .add(Result.m_Latency, MaxWindow, Now);
+          .add(Result.m_Latency, MaxWindowSamples, Now);
     return;
   }
   if (Stale)
@@ -70,7 +78,7 @@
   m_PausesInRow = 0;
   const std::optional<LatencyVerdict> Verdict =
       m_Trends.at(static_cast<std::size_t>(Class))
-          .add(Result.m_Latency, std::clamp(m_Limit, MinWindow, MaxWindow),
+          .add(Result.m_Latency, std::clamp(m_Limit, MinWindowSamples, MaxWindowSamples),
                Now);
   if (Verdict)
     onVerdict(*Verdict, Now);
@@ -93,21 +101,21 @@
 }
 
 void ConcurrencyLimit::onFailure(TimePoint Now) {
-  if (++m_FailuresInRow < FailuresOfRestart && m_PausesInRow == 0)
+  if (++m_FailuresInRow < RestartFailures && m_PausesInRow == 0)
     return;
   enterCold(Now);
   pause(Now);
 }
 
-// The target is down: orders wait rather than fail.
+// The target is down: requests wait instead of failing.
 void ConcurrencyLimit::pause(TimePoint Now) {
   const std::uint32_t Doublings = std::min(m_PausesInRow, MaxPauseDoublings);
-  m_PausedUntil = Now + FirstPause * (1U << Doublings);
+  m_PausedUntil = Now + InitialPause * (1U << Doublings);
   ++m_PausesInRow;
 }
 
 void ConcurrencyLimit::onShed(TimePoint Now) {
-  if (++m_ShedsInRow >= ShedsOfRestart)
+  if (++m_ShedsInRow >= RestartSheds)
     return enterCold(Now);
   decrease(ShedFactor, Now);
 }
@@ -117,17 +125,17 @@
     return onCongested(Verdict, Now);
   m_CongestedAtColdLimit = 0;
   if (Verdict.m_Healthy)
-    raise(Now);
+    increase(Now);
 }
 
 void ConcurrencyLimit::onCongested(const LatencyVerdict &Verdict,
                                    TimePoint Now) {
-  if (Verdict.m_Ratio > ColdRatio && Now - m_LastTrouble < TroubleMemory)
+  if (Verdict.m_Ratio > ColdRatio && Now - m_LastError < RecentErrorTime)
     return enterCold(Now);
   if (m_Limit <= coldLimit())
     return onCongestedAtColdLimit(Verdict.m_Ratio);
-  decrease(std::clamp(AimedRatio / Verdict.m_Ratio, StrongestDecrease,
-                      WeakestDecrease),
+  decrease(std::clamp(DesiredRatio / Verdict.m_Ratio, MinDecreaseFactor,
+                      MaxDecreaseFactor),
            Now);
   m_Limit = std::max(m_Limit, coldLimit());
   const bool RampActive = rampCeiling(Now) < m_Options.m_Slots;
@@ -138,10 +146,10 @@
   m_RampAfterErrors = AfterErrors;
 }
 
-// Even a cold target bears the cold limit, so it is slow for another reason,
-// and fewer orders would only cost throughput.
+// Even a cold target can handle the cold limit, so it is slow for a reason
+// other than congestion, and a lower limit would only reduce throughput.
 void ConcurrencyLimit::onCongestedAtColdLimit(double Ratio) {
-  if (++m_CongestedAtColdLimit < VerdictsOfSlowness)
+  if (++m_CongestedAtColdLimit < SlowTargetVerdicts)
     return;
   m_CongestedAtColdLimit = 0;
   for (LatencyTrend &Trend : m_Trends)
@@ -149,13 +157,13 @@
   m_Ramping = m_Ramping && m_RampAfterErrors;
 }
 
-void ConcurrencyLimit::raise(TimePoint Now) {
-  if (!m_Saturated || Now - m_LastRise < RisePeriod)
+void ConcurrencyLimit::increase(TimePoint Now) {
+  if (!m_Saturated || Now - m_LastIncrease < IncreaseInterval)
     return;
   if (m_Limit >= rampCeiling(Now))
     return;
   ++m_Limit;
-  m_LastRise = Now;
+  m_LastIncrease = Now;
   m_Saturated = false;
 }
 
@@ -163,7 +171,7 @@
   m_Limit = std::max(
       1U, static_cast<std::uint32_t>(static_cast<double>(m_Limit) * Factor));
   m_LastDecrease = Now;
-  m_LastRise = Now;
+  m_LastIncrease = Now;
   m_Saturated = false;
   restartWindows();
 }
@@ -173,7 +181,7 @@
   m_RampAfterErrors = false;
   m_RampFrom = From;
   m_RampStart = Now;
-  m_LastRise = Now;
+  m_LastIncrease = Now;
   m_Saturated = false;
 }
 
--- a/src/load/latency_histogram.cpp
+++ b/src/load/latency_histogram.cpp
@@ -1,4 +1,4 @@
-// Logarithmic histogram with exponential forgetting.
+// Logarithmic histogram whose counts decay.
 #include "load/latency_histogram.h"
 
 #include <algorithm>
@@ -8,17 +8,18 @@
 
 namespace {
 
-constexpr double FirstBound = 64;
+/// Upper bound of the first bucket, in microseconds.
+constexpr double FirstBoundMicros = 64;
 constexpr double BucketsPerDoubling = 4;
-/// All counts are halved when they sum up to this.
-constexpr double HalvingWeight = 1000;
+/// All counts are halved when their sum reaches this.
+constexpr double MaxTotalWeight = 1000;
 
 } // namespace
 
 void LatencyHistogram::add(Duration Latency) {
   m_Buckets.at(bucketOf(Latency)) += 1;
   m_Total += 1;
-  if (m_Total < HalvingWeight)
+  if (m_Total < MaxTotalWeight)
     return;
   for (double &Count : m_Buckets)
     Count /= 2;
@@ -33,16 +34,16 @@
   while (Bucket + 1 < BucketCount && Left > m_Buckets.at(Bucket))
     Left -= m_Buckets.at(Bucket++);
   return Duration(static_cast<Duration::rep>(
-      FirstBound *
+      FirstBoundMicros *
       std::exp2(static_cast<double>(Bucket) / BucketsPerDoubling)));
 }
 
 std::size_t LatencyHistogram::bucketOf(Duration Latency) {
   const auto Microseconds = static_cast<double>(Latency.count());
-  if (Microseconds <= FirstBound)
+  if (Microseconds <= FirstBoundMicros)
     return 0;
   const double Position =
-      std::ceil(std::log2(Microseconds / FirstBound) * BucketsPerDoubling);
+      std::ceil(std::log2(Microseconds / FirstBoundMicros) * BucketsPerDoubling);
   return std::min(static_cast<std::size_t>(Position), BucketCount - 1);
 }
 
--- a/src/load/latency_trend.cpp
+++ b/src/load/latency_trend.cpp
@@ -1,4 +1,4 @@
-// Windowed comparison of latencies with a slowly rising baseline.
+// Compares windowed mean latencies with a slowly rising baseline.
 #include "load/latency_trend.h"
 
 #include <algorithm>
@@ -8,22 +8,26 @@
 
 namespace {
 
-/// Weight of one sample in the recent mean, of one window in the deviation.
+/// Smoothing factors: weight of one sample in the recent mean, and of one
+/// window in the deviation.
 constexpr double SampleWeight = 1.0 / 16;
 constexpr double DeviationWeight = 1.0 / 8;
-/// Weight of one window in the baseline when it is below or above it.
+/// Smoothing factors of the baseline: weight of a window whose mean is below or
+/// above it.
 constexpr double FallWeight = 1.0 / 8;
 constexpr double RiseWeight = 1.0 / 64;
-/// Ratios to the baseline, and multiples of the window mean's noise.
+/// Thresholds of a window's mean, each the sum of a multiple of the baseline
+/// (ratio) and a multiple of the mean's standard error (noise).
 constexpr double HealthyRatio = 1.25;
 constexpr double HealthyNoise = 1.5;
 constexpr double CongestedRatio = 1.6;
 constexpr double CongestedNoise = 3;
-/// Windows in a row that are not healthy add up to congestion.
+/// Consecutive unhealthy windows that count as congestion if their common mean
+/// exceeds CongestedRatio.
 constexpr std::uint32_t UnhealthyWindows = 3;
-/// Shortest time from the first to the last sample of a window.
-constexpr Duration WindowTime = std::chrono::milliseconds(50);
-/// Samples that a verdict needs.
+/// Minimum time from the first to the last sample of a window.
+constexpr Duration MinWindowTime = std::chrono::milliseconds(50);
+/// Minimum number of samples for a verdict.
 constexpr std::uint32_t MinSamples = 2;
 
 Duration toDuration(double Microseconds) {
@@ -45,8 +49,8 @@
   m_WindowDeviation += std::abs(Sample - m_RecentMean);
   ++m_WindowCount;
   const bool Full =
-      m_WindowCount >= WindowSize && Now - m_WindowStart >= WindowTime;
-  if (!Full && !surelyCongested(WindowSize))
+      m_WindowCount >= WindowSize && Now - m_WindowStart >= MinWindowTime;
+  if (!Full && !certainlyCongested(WindowSize))
     return std::nullopt;
 
   const LatencyVerdict Result = closeWindow();
@@ -68,9 +72,10 @@
   m_UnhealthySum = Healthy ? 0 : m_UnhealthySum + Mean;
   const LatencyVerdict Result{
       .m_Ratio = Mean / m_Baseline,
-      .m_Congested = Mean > congestedMean(m_WindowCount) || unhealthyForLong(),
+      .m_Congested = Mean > congestedMean(m_WindowCount) || persistentlyUnhealthy(),
       .m_Healthy = Healthy};
-  // A jump must not widen the noise that it is compared with.
+  // A jump of the latency must not increase the deviation that it is compared
+  // with.
   if (Healthy)
     m_Deviation += (Deviation - m_Deviation) * DeviationWeight;
   moveBaseline(Mean);
@@ -97,14 +102,15 @@
 
 Duration LatencyTrend::deviation() const { return toDuration(m_Deviation); }
 
-// The samples so far are so slow that the rest can't make up for them.
-bool LatencyTrend::surelyCongested(std::uint32_t WindowSize) const {
+// The samples so far are so slow that the rest of the window can't change the
+// verdict.
+bool LatencyTrend::certainlyCongested(std::uint32_t WindowSize) const {
   return m_Baseline > 0 && m_WindowCount >= MinSamples &&
          m_WindowSum >
              congestedMean(m_WindowCount) * std::max(WindowSize, m_WindowCount);
 }
 
-bool LatencyTrend::unhealthyForLong() const {
+bool LatencyTrend::persistentlyUnhealthy() const {
   return m_UnhealthyInRow >= UnhealthyWindows &&
          m_UnhealthySum > m_Baseline * CongestedRatio * m_UnhealthyInRow;
 }
--- a/src/load/latency_trend.h
+++ b/src/load/latency_trend.h
@@ -1,4 +1,4 @@
-// Tells from the latencies of one class whether the target is congested.
+// Detects congestion of a target from the latencies of one request class.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -8,13 +8,13 @@
 
 namespace balsamwheel {
 
-/// What a window of latencies shows against the uncongested baseline.
+/// Result of comparing a window of latencies with the uncongested baseline.
 struct LatencyVerdict {
-  /// Mean of the window over the baseline.
+  /// Mean of the window divided by the baseline.
   double m_Ratio = 1;
-  /// Clearly above the baseline, noise considered.
+  /// The mean is clearly above the baseline, noise considered.
   bool m_Congested = false;
-  /// Close to the baseline, noise considered.
+  /// The mean is close to the baseline, noise considered.
   bool m_Healthy = true;
 };
 
@@ -24,32 +24,33 @@
 public:
   /// Adds one latency.
   ///
-  /// \param WindowSize samples that a window has at least.
-  /// \returns a verdict when the window closed.
+  /// \param WindowSize minimum number of samples in a window.
+  /// \returns a verdict when this sample completed the window.
   std::optional<LatencyVerdict> add(Duration Latency, std::uint32_t WindowSize,
                                     TimePoint Now);
-  /// Drops the samples of the open window.
+  /// Drops the samples of the current window.
   void restartWindow();
-  /// The target became slower for another reason than congestion.
+  /// Adapts the baseline when the target became slower for a reason other than
+  /// congestion.
   void scaleBaseline(double Factor);
 
-  /// Typical uncongested latency; 0 before the first window closed.
+  /// Typical uncongested latency; 0 before the first window is complete.
   Duration baseline() const;
-  /// Typical latency now, for estimates of waiting time.
+  /// Moving average of the latency, for estimates of waiting time.
   Duration recentMean() const;
-  /// Mean absolute deviation of single latencies.
+  /// Mean absolute deviation of individual latencies.
   Duration deviation() const;
 
 private:
   LatencyVerdict closeWindow();
-  bool unhealthyForLong() const;
-  bool surelyCongested(std::uint32_t WindowSize) const;
+  bool persistentlyUnhealthy() const;
+  bool certainlyCongested(std::uint32_t WindowSize) const;
   double congestedMean(std::uint32_t Count) const;
   double healthyMean(std::uint32_t Count) const;
   double noise(std::uint32_t Count) const;
   void moveBaseline(double Mean);
 
-  // All in microseconds; 0 while nothing is known.
+  // All in microseconds; 0 while unknown.
   double m_Baseline = 0;
   double m_RecentMean = 0;
   double m_Deviation = 0;
--- a/src/load/picker.cpp
+++ b/src/load/picker.cpp
@@ -1,4 +1,4 @@
-// Choice among targets by observed latency, with ejection and hedge budget.
+// Chooses targets by observed latency, with outlier ejection and a hedge budget.
 #include "balsamwheel/detail/load/picker.h"
 
 #include "load/target_record.h"
@@ -12,17 +12,24 @@
 
 namespace {
 
-/// An outlier's latency in multiples of the median of the others.
+/// A target is ejected if its mean latency exceeds this multiple of the median
+/// of the other targets.
 constexpr double EjectRatio = 3;
-/// A probe below this multiple of the median takes the target back.
+/// An ejected target is restored if a probe takes at most this multiple of the
+/// median of the other targets.
 constexpr double RestoreRatio = 2;
+/// Minimum number of samples to eject a target because of its latency.
 constexpr std::uint32_t EjectSamples = 4;
+/// Consecutive failures after which a target is ejected.
 constexpr std::uint32_t EjectFailures = 3;
+/// A hedge is sent after this quantile of the latency.
 constexpr double HedgeQuantile = 0.95;
+/// Minimum weight of a target's histogram for its quantile to be used.
 constexpr double HedgeSamples = 20;
+/// Maximum number of hedges that can be saved up.
 constexpr double HedgeBurst = 10;
-/// Records without requests for this long are dropped.
-constexpr Duration RecordLife = std::chrono::minutes(1);
+/// Records of targets without requests for this long are dropped.
+constexpr Duration RecordLifetime = std::chrono::minutes(1);
 
 double medianOf(std::vector<double> Values) {
   if (Values.empty())
@@ -58,23 +65,23 @@
   void ejectOutliers(std::span<const SessionId> Candidates, TimePoint Now);
   bool isOutlier(SessionId Target, std::span<const SessionId> Candidates,
                  TimePoint Now);
-  double medianLatency(std::span<const SessionId> Candidates, SessionId Without,
+  double medianLatency(std::span<const SessionId> Candidates, SessionId Excluded,
                        TimePoint Now);
   std::optional<SessionId> dueProbe(const Sessions &Eligible, TimePoint Now);
-  void settleProbe(SessionId Target, Duration Latency, bool Failed,
+  void finishProbe(SessionId Target, Duration Latency, bool Failed,
                    TimePoint Now);
-  void forgetUnused(TimePoint Now);
-  std::size_t below(std::size_t Bound) {
+  void dropUnused(TimePoint Now);
+  std::size_t randomBelow(std::size_t Bound) {
     return m_Random(static_cast<std::uint32_t>(Bound));
   }
 
   PickerOptions m_Options;
   pcg32 m_Random;
   std::unordered_map<SessionId, TargetRecord> m_Records;
-  // The latest candidates: the ones that a probe is compared with.
+  // Candidates of the last pick; a probe is compared with their median.
   Sessions m_Candidates;
-  std::uint64_t m_NextTurn = 0;
-  // Hedges that may be sent. Within [0, HedgeBurst].
+  std::uint64_t m_NextIndex = 0;
+  // Number of hedges that may be sent, within [0, HedgeBurst].
   double m_HedgeTokens = 0;
 };
 
@@ -85,7 +92,7 @@
     return std::nullopt;
   m_Candidates.assign(Candidates.begin(), Candidates.end());
   if (m_Records.size() > Candidates.size() * 2)
-    forgetUnused(Now);
+    dropUnused(Now);
   Sessions Eligible;
   for (const SessionId Candidate : Candidates)
     if (std::ranges::find(Avoid, Candidate) == Avoid.end())
@@ -102,11 +109,11 @@
   case PickPolicy::LeastLoaded:
     return leastLoaded(Eligible);
   case PickPolicy::RoundRobin:
-    return Eligible.at(m_NextTurn++ % Eligible.size());
+    return Eligible.at(m_NextIndex++ % Eligible.size());
   case PickPolicy::Random:
     break;
   }
-  return Eligible.at(below(Eligible.size()));
+  return Eligible.at(randomBelow(Eligible.size()));
 }
 
 SessionId Picker::Impl::betterOfTwo(const Sessions &Eligible, TimePoint Now) {
@@ -122,18 +129,18 @@
   if (Healthy.size() == 1)
     return Healthy.front();
 
-  const std::size_t First = below(Healthy.size());
-  const std::size_t Step = 1 + below(Healthy.size() - 1);
+  const std::size_t First = randomBelow(Healthy.size());
+  const std::size_t Step = 1 + randomBelow(Healthy.size() - 1);
   const SessionId One = Healthy.at(First);
   const SessionId Other = Healthy.at((First + Step) % Healthy.size());
-  const double Unknown = medianLatency(m_Candidates, SessionId(), Now);
-  const double CostOfOne = m_Records[One].cost(Now, Unknown);
-  return CostOfOne <= m_Records[Other].cost(Now, Unknown) ? One : Other;
+  const double DefaultLatency = medianLatency(m_Candidates, SessionId(), Now);
+  const double CostOfOne = m_Records[One].cost(Now, DefaultLatency);
+  return CostOfOne <= m_Records[Other].cost(Now, DefaultLatency) ? One : Other;
 }
 
 SessionId Picker::Impl::leastLoaded(const Sessions &Eligible) {
-  // Starts at a random place so that ties spread.
-  const std::size_t Offset = below(Eligible.size());
+  // Starts at a random offset so that ties are spread over the targets.
+  const std::size_t Offset = randomBelow(Eligible.size());
   SessionId Best = Eligible.at(Offset);
   for (std::size_t Step = 1; Step < Eligible.size(); ++Step) {
     const SessionId Other = Eligible.at((Offset + Step) % Eligible.size());
@@ -173,17 +180,18 @@
 }
 
 double Picker::Impl::medianLatency(std::span<const SessionId> Candidates,
-                                   SessionId Without, TimePoint Now) {
+                                   SessionId Excluded, TimePoint Now) {
   std::vector<double> Known;
   for (const SessionId Candidate : Candidates) {
     const TargetRecord &Record = m_Records[Candidate];
-    if (Candidate != Without && Record.samples() > 0)
+    if (Candidate != Excluded && Record.samples() > 0)
       Known.push_back(Record.meanLatency(Now));
   }
   return medianOf(std::move(Known));
 }
 
-// A probe risks a slow answer, so it waits until a hedge can cover it.
+// A probe may get a slow answer, so it is sent only while the budget has a hedge
+// for it.
 std::optional<SessionId> Picker::Impl::dueProbe(const Sessions &Eligible,
                                                 TimePoint Now) {
   if (m_Options.m_Hedge && m_HedgeTokens < 1)
@@ -196,7 +204,8 @@
 
 void Picker::Impl::started(SessionId Target, TimePoint Now) {
   m_Records[Target].started(Now);
-  // The hedges count as started too, but earn nothing.
+  // Hedges are counted here as well but must not add to the budget; the divisor
+  // corrects for them.
   const double Credit = m_Options.m_HedgeBudget / (1 + m_Options.m_HedgeBudget);
   m_HedgeTokens = std::min(HedgeBurst, m_HedgeTokens + Credit);
 }
@@ -204,15 +213,15 @@
 void Picker::Impl::finished(SessionId Target, Duration Latency, bool Failed,
                             TimePoint Now) {
   m_Records[Target].finished(Latency, Failed, Now);
-  settleProbe(Target, Latency, Failed, Now);
+  finishProbe(Target, Latency, Failed, Now);
 }
 
 void Picker::Impl::abandoned(SessionId Target, Duration Waited, TimePoint Now) {
   m_Records[Target].abandoned(Waited, Now);
-  settleProbe(Target, Waited, /*Failed=*/true, Now);
+  finishProbe(Target, Waited, /*Failed=*/true, Now);
 }
 
-void Picker::Impl::settleProbe(SessionId Target, Duration Latency, bool Failed,
+void Picker::Impl::finishProbe(SessionId Target, Duration Latency, bool Failed,
                                TimePoint Now) {
   TargetRecord &Record = m_Records[Target];
   if (!Record.ejected() || Record.inFlight() > 0)
@@ -226,14 +235,15 @@
     Record.eject(Now);
 }
 
-// The median over targets: one slow target must not delay its own hedges.
+// The median over the targets is used so that a slow target does not delay its
+// own hedges.
 std::optional<Duration> Picker::Impl::hedgeDelay(TimePoint Now) const {
   if (!m_Options.m_Hedge || m_HedgeTokens < 1)
     return std::nullopt;
   std::vector<double> Delays;
   for (const auto &[Target, Record] : m_Records)
     if (Record.latencies().weight() >= HedgeSamples &&
-        Now - Record.lastSample() < RecordLife)
+        Now - Record.lastSample() < RecordLifetime)
       Delays.push_back(static_cast<double>(
           Record.latencies().quantile(HedgeQuantile)->count()));
   if (Delays.empty())
@@ -248,10 +258,10 @@
   return true;
 }
 
-void Picker::Impl::forgetUnused(TimePoint Now) {
+void Picker::Impl::dropUnused(TimePoint Now) {
   std::erase_if(m_Records, [&](const auto &Entry) {
     const TargetRecord &Record = Entry.second;
-    return Record.inFlight() == 0 && Now - Record.lastSample() > RecordLife;
+    return Record.inFlight() == 0 && Now - Record.lastSample() > RecordLifetime;
   });
 }
 
--- a/src/load/request_gate.cpp
+++ b/src/load/request_gate.cpp
@@ -1,4 +1,4 @@
-// Admission, order and refusal at the gate of one target.
+// Admission, queue order and refusal of requests to one target.
 #include "balsamwheel/detail/load/request_gate.h"
 
 #include <algorithm>
@@ -42,15 +42,15 @@
   return Now < m_RateUntil ? m_Rate : 0;
 }
 
-double RequestGate::ratePermits(TimePoint Now) const {
+double RequestGate::availablePermits(TimePoint Now) const {
   return std::min(m_Options.m_ColdBurst,
                   m_Permits + m_Rate * micros(Now - m_PermitsAt) / 1e6);
 }
 
-bool RequestGate::takeRate(TimePoint Now) {
+bool RequestGate::takePermit(TimePoint Now) {
   if (rateLimit(Now) == 0)
     return true;
-  const double Permits = ratePermits(Now);
+  const double Permits = availablePermits(Now);
   if (Permits < 1)
     return false;
   m_Permits = Permits - 1;
@@ -73,39 +73,39 @@
   return Request.m_Nested ? Request.m_Deadline : Request.m_Objective;
 }
 
-bool RequestGate::onTime(const GateRequest &Request, TimePoint Now) const {
+bool RequestGate::canBeOnTime(const GateRequest &Request, TimePoint Now) const {
   return micros(dueBy(Request) - Now) >=
-         m_Options.m_QuickService * micros(expectedService(Request.m_Route));
+         m_Options.m_FastServiceShare * micros(expectedService(Request.m_Route));
 }
 
-Duration RequestGate::worthWaiting(const GateRequest &Request,
+Duration RequestGate::maxWait(const GateRequest &Request,
                                    TimePoint Now) const {
   const double Service = micros(expectedService(Request.m_Route));
-  if (!onTime(Request, Now))
+  if (!canBeOnTime(Request, Now))
     return fromMicros(m_Options.m_LateWaitShare *
                       (micros(Request.m_Deadline - Now) - Service));
   const double Left = micros(dueBy(Request) - Now);
-  return fromMicros(std::max(m_Options.m_AdmissionMargin * Left - Service,
-                             m_Options.m_ShortWait * Left));
+  return fromMicros(std::max(m_Options.m_AdmissionShare * Left - Service,
+                             m_Options.m_MinWaitShare * Left));
 }
 
-bool RequestGate::hopeless(const GateRequest &Request, TimePoint Now) const {
+bool RequestGate::cannotMeetDeadline(const GateRequest &Request, TimePoint Now) const {
   return micros(Request.m_Deadline - Now) <
-         m_Options.m_LeastServiceLeft *
+         m_Options.m_MinServiceShare *
              micros(expectedService(Request.m_Route));
 }
 
 GateDecision RequestGate::refusal(Duration Wait) const {
   return {.m_Verdict = GateVerdict::Refuse,
           .m_ExpectedWait = Wait,
-          .m_RetryAfter = std::clamp(Wait, m_Options.m_ShortestRetryAfter,
-                                     m_Options.m_LongestRetryAfter)};
+          .m_RetryAfter = std::clamp(Wait, m_Options.m_MinRetryAfter,
+                                     m_Options.m_MaxRetryAfter)};
 }
 
-bool RequestGate::before(const Waiting &Left, const Waiting &Right,
+bool RequestGate::precedes(const Waiting &Left, const Waiting &Right,
                          TimePoint Now) const {
-  const bool LeftOnTime = onTime(Left.m_Request, Now);
-  const bool RightOnTime = onTime(Right.m_Request, Now);
+  const bool LeftOnTime = canBeOnTime(Left.m_Request, Now);
+  const bool RightOnTime = canBeOnTime(Right.m_Request, Now);
   if (LeftOnTime != RightOnTime)
     return LeftOnTime;
   if (Left.m_Request.m_Nested != Right.m_Request.m_Nested)
@@ -117,55 +117,55 @@
   return Left.m_Sequence < Right.m_Sequence;
 }
 
-Duration RequestGate::waitBehind(std::size_t Ahead, TimePoint Now) const {
+Duration RequestGate::expectedWait(std::size_t Ahead, TimePoint Now) const {
   double Wait = 0;
   if (m_Running + Ahead >= m_Slots)
     Wait = micros(meanService()) *
            static_cast<double>(m_Running + Ahead - m_Slots + 1) / m_Slots;
-  if (m_StartGap > 0 && Now - m_LastStart < m_Options.m_StartGapLife)
+  if (m_StartGap > 0 && Now - m_LastStart < m_Options.m_StartGapLifetime)
     Wait = std::max(Wait, m_StartGap * static_cast<double>(Ahead + 1));
   if (const double Rate = rateLimit(Now); Rate > 0) {
-    const double Missing = static_cast<double>(Ahead) + 1 - ratePermits(Now);
+    const double Missing = static_cast<double>(Ahead) + 1 - availablePermits(Now);
     Wait = std::max(Wait, Missing / Rate * 1e6);
   }
   return fromMicros(Wait);
 }
 
-bool RequestGate::hasOrdinaryWaiting() const {
+bool RequestGate::hasNonNestedWaiting() const {
   return std::any_of(
       m_Waiting.begin(), m_Waiting.end(),
       [](const Waiting &Each) { return !Each.m_Request.m_Nested; });
 }
 
-void RequestGate::noteStart(TimePoint Now) {
+void RequestGate::recordStart(TimePoint Now) {
   const double Gap = micros(Now - m_LastStart);
-  const bool Believed = Now - m_LastStart < m_Options.m_StartGapLife;
+  const bool GapValid = Now - m_LastStart < m_Options.m_StartGapLifetime;
   if (m_Backlogged)
     m_StartGap =
-        m_StartGap > 0 && Believed
+        m_StartGap > 0 && GapValid
             ? m_StartGap + m_Options.m_StartGapWeight * (Gap - m_StartGap)
             : Gap;
-  else if (!Believed)
+  else if (!GapValid)
     m_StartGap = 0;
   m_LastStart = Now;
-  m_Backlogged = hasOrdinaryWaiting();
+  m_Backlogged = hasNonNestedWaiting();
 }
 
 GateDecision RequestGate::offer(const GateRequest &Request, TimePoint Now) {
-  if (!isOpen() || hopeless(Request, Now))
+  if (!isOpen() || cannotMeetDeadline(Request, Now))
     return refusal(meanService());
   const Waiting Offered{.m_Request = Request, .m_Sequence = m_NextSequence++};
-  if (m_Waiting.empty() && m_Running < m_Slots && takeRate(Now)) {
+  if (m_Waiting.empty() && m_Running < m_Slots && takePermit(Now)) {
     ++m_Running;
     return {.m_Verdict = GateVerdict::Send};
   }
   const auto Ahead = static_cast<std::size_t>(std::count_if(
       m_Waiting.begin(), m_Waiting.end(),
-      [&](const Waiting &Each) { return before(Each, Offered, Now); }));
-  const Duration Wait = waitBehind(Ahead, Now);
+      [&](const Waiting &Each) { return precedes(Each, Offered, Now); }));
+  const Duration Wait = expectedWait(Ahead, Now);
   const bool Room =
-      m_Waiting.size() < std::size_t{m_Options.m_QueuePerSlot} * m_Slots;
-  if (Room && Wait <= worthWaiting(Request, Now)) {
+      m_Waiting.size() < std::size_t{m_Options.m_QueueLimitPerSlot} * m_Slots;
+  if (Room && Wait <= maxWait(Request, Now)) {
     m_Waiting.push_back(Offered);
     return {.m_Verdict = GateVerdict::Wait, .m_ExpectedWait = Wait};
   }
@@ -177,34 +177,34 @@
     return std::nullopt;
   auto Best = std::min_element(m_Waiting.begin(), m_Waiting.end(),
                                [&](const Waiting &Left, const Waiting &Right) {
-                                 return before(Left, Right, Now);
+                                 return precedes(Left, Right, Now);
                                });
-  if (!takeRate(Now))
+  if (!takePermit(Now))
     return std::nullopt;
   const RequestHandle Result = Best->m_Request.m_Handle;
   const bool Nested = Best->m_Request.m_Nested;
   m_Waiting.erase(Best);
   ++m_Running;
   if (!Nested)
-    noteStart(Now);
+    recordStart(Now);
   return Result;
 }
 
 std::vector<RequestHandle> RequestGate::expire(TimePoint Now) {
   const bool Contended =
       std::any_of(m_Waiting.begin(), m_Waiting.end(), [&](const Waiting &Each) {
-        return onTime(Each.m_Request, Now);
+        return canBeOnTime(Each.m_Request, Now);
       });
   std::vector<RequestHandle> Result;
   std::erase_if(m_Waiting, [&](const Waiting &Each) {
-    const bool Hopeless =
-        hopeless(Each.m_Request, Now + m_Options.m_ExpireInterval) ||
-        (Contended && !onTime(Each.m_Request, Now));
-    if (Hopeless)
+    const bool Drop =
+        cannotMeetDeadline(Each.m_Request, Now + m_Options.m_ExpireInterval) ||
+        (Contended && !canBeOnTime(Each.m_Request, Now));
+    if (Drop)
       Result.push_back(Each.m_Request.m_Handle);
-    return Hopeless;
+    return Drop;
   });
-  m_Backlogged = m_Backlogged && hasOrdinaryWaiting();
+  m_Backlogged = m_Backlogged && hasNonNestedWaiting();
   return Result;
 }
 
@@ -212,7 +212,7 @@
   const bool Found = std::erase_if(m_Waiting, [&](const Waiting &Each) {
                        return Each.m_Request.m_Handle == Request;
                      }) > 0;
-  m_Backlogged = m_Backlogged && hasOrdinaryWaiting();
+  m_Backlogged = m_Backlogged && hasNonNestedWaiting();
   return Found;
 }
 
@@ -222,12 +222,12 @@
     --m_Running;
   if (!Served)
     return;
-  const double Seen = micros(Service);
-  const auto Blend = [&](double &Mean) {
-    Mean = Mean > 0 ? Mean + m_Options.m_ServiceWeight * (Seen - Mean) : Seen;
+  const double Sample = micros(Service);
+  const auto UpdateMean = [&](double &Mean) {
+    Mean = Mean > 0 ? Mean + m_Options.m_ServiceWeight * (Sample - Mean) : Sample;
   };
-  Blend(m_Service[Route]);
-  Blend(m_MeanService);
+  UpdateMean(m_Service[Route]);
+  UpdateMean(m_MeanService);
 }
 
 std::optional<TimePoint> RequestGate::nextWake(TimePoint Now) const {
@@ -236,7 +236,7 @@
   const double Rate = rateLimit(Now);
   if (Rate > 0 && m_Running < m_Slots)
     return Now +
-           fromMicros(std::max(1000.0, (1 - ratePermits(Now)) / Rate * 1e6));
+           fromMicros(std::max(1000.0, (1 - availablePermits(Now)) / Rate * 1e6));
   return std::nullopt;
 }
 
--- a/src/load/retry_budget.cpp
+++ b/src/load/retry_budget.cpp
@@ -1,4 +1,4 @@
-// Token bucket for retries and their jittered delays.
+// Token bucket of retries, and their back-off with jitter.
 #include "balsamwheel/detail/load/retry_budget.h"
 
 #include <algorithm>
--- a/src/load/shard_rates.cpp
+++ b/src/load/shard_rates.cpp
@@ -1,4 +1,4 @@
-// Forward-decaying request rates.
+// Request rates with forward decay.
 #include "balsamwheel/detail/load/shard_rates.h"
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Weights are scaled back before they exceed e to this power.
+/// All weights are rescaled when the weight of a new request would exceed e to
+/// this power.
 constexpr double MaxExponent = 40;
-/// Shards lighter than this after scaling back are dropped.
+/// Shards with less weight than this after rescaling are dropped.
 constexpr double NegligibleWeight = 1e-3;
 
 double toSeconds(Duration Value) {
--- a/src/load/target_board.cpp
+++ b/src/load/target_board.cpp
@@ -1,4 +1,4 @@
-// Least expected completion over the targets of a service.
+// Chooses the target of a service with the least expected completion time.
 #include "balsamwheel/detail/load/target_board.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 void TargetBoard::report(const InstanceName &Target, const GateReport &Report) {
   Entry &Known = m_Entries[Target];
   Known.m_Report = Report;
-  Known.m_SentSince = 0;
+  Known.m_SentSinceReport = 0;
 }
 
 void TargetBoard::forget(const InstanceName &Target) {
@@ -20,14 +20,14 @@
 }
 
 void TargetBoard::sent(const InstanceName &Target) {
-  ++m_Entries[Target].m_SentSince;
+  ++m_Entries[Target].m_SentSinceReport;
 }
 
-double TargetBoard::failureShare(const Entry &Of, TimePoint Now) const {
+double TargetBoard::failureRate(const Entry &Target, TimePoint Now) const {
   const double HalfLives =
-      static_cast<double>((Now - Of.m_FailureAt).count()) /
+      static_cast<double>((Now - Target.m_FailureRateAt).count()) /
       static_cast<double>(m_Options.m_FailureHalfLife.count());
-  return Of.m_FailureShare * std::exp2(-std::max(0.0, HalfLives));
+  return Target.m_FailureRate * std::exp2(-std::max(0.0, HalfLives));
 }
 
 void TargetBoard::done(const InstanceName &Target, bool Failed, TimePoint Now) {
@@ -35,10 +35,10 @@
   if (Found == m_Entries.end())
     return;
   Entry &Known = Found->second;
-  const double Share = failureShare(Known, Now);
-  Known.m_FailureShare =
+  const double Share = failureRate(Known, Now);
+  Known.m_FailureRate =
       Share + m_Options.m_FailureWeight * ((Failed ? 1.0 : 0.0) - Share);
-  Known.m_FailureAt = Now;
+  Known.m_FailureRateAt = Now;
 }
 
 std::optional<Duration>
@@ -51,21 +51,21 @@
   const GateReport &Report = Known.m_Report;
   const double Service =
       std::max(1.0, static_cast<double>(Report.m_Service.count()));
-  const double Load = Report.m_Running + Report.m_Waiting + Known.m_SentSince;
+  const double Load = Report.m_Running + Report.m_Waiting + Known.m_SentSinceReport;
   double Total = Service * (1 + Load / Report.m_Slots);
   if (Report.m_RateLimit > 0)
-    Total += (Report.m_Waiting + Known.m_SentSince) / Report.m_RateLimit * 1e6;
-  Total *= 1 + m_Options.m_FailureFactor * failureShare(Known, Now);
+    Total += (Report.m_Waiting + Known.m_SentSinceReport) / Report.m_RateLimit * 1e6;
+  Total *= 1 + m_Options.m_FailureFactor * failureRate(Known, Now);
   return Duration(static_cast<Duration::rep>(Total));
 }
 
-double TargetBoard::cost(const Candidate &Of, bool LargeAnswer,
+double TargetBoard::cost(const Candidate &Option, bool LargeAnswer,
                          Duration Completion) const {
   auto Cost = static_cast<double>(Completion.count());
-  const GateReport &Report = m_Entries.at(Of.m_Target).m_Report;
-  if (LargeAnswer && !Of.m_Local)
+  const GateReport &Report = m_Entries.at(Option.m_Target).m_Report;
+  if (LargeAnswer && !Option.m_Local)
     Cost += static_cast<double>(Report.m_LinkWait.count());
-  if (LargeAnswer && !Of.m_SameDomain)
+  if (LargeAnswer && !Option.m_SameDomain)
     Cost += m_Options.m_RemoteDownloadPenalty *
             static_cast<double>(Report.m_Service.count());
   return Cost;
@@ -74,26 +74,26 @@
 std::optional<InstanceName>
 TargetBoard::choose(std::span<const Candidate> Candidates, bool LargeAnswer,
                     std::uint64_t Random, TimePoint Now) const {
-  struct Open {
+  struct OpenCandidate {
     const Candidate *m_Candidate;
     double m_Cost;
   };
-  std::vector<Open> Choices;
+  std::vector<OpenCandidate> Choices;
   Choices.reserve(Candidates.size());
   for (const Candidate &Each : Candidates)
     if (const auto Completion = expectedCompletion(Each.m_Target, Now))
       Choices.push_back({&Each, cost(Each, LargeAnswer, *Completion)});
   if (Choices.empty())
     return std::nullopt;
-  // A partial shuffle draws the sample.
-  const std::size_t Sample = std::min(m_Options.m_Sample, Choices.size());
-  pcg32 Draw(Random);
+  // Draws the sample with a partial Fisher-Yates shuffle.
+  const std::size_t Sample = std::min(m_Options.m_SampleSize, Choices.size());
+  pcg32 Generator(Random);
   for (std::size_t Index = 0; Index < Sample; ++Index)
-    std::swap(Choices[Index], Choices[Index + Draw(static_cast<std::uint32_t>(
+    std::swap(Choices[Index], Choices[Index + Generator(static_cast<std::uint32_t>(
                                                   Choices.size() - Index))]);
   const auto Best = std::min_element(
       Choices.begin(), Choices.begin() + static_cast<std::ptrdiff_t>(Sample),
-      [](const Open &Left, const Open &Right) {
+      [](const OpenCandidate &Left, const OpenCandidate &Right) {
         return Left.m_Cost < Right.m_Cost;
       });
   return Best->m_Candidate->m_Target;
--- a/src/load/target_record.cpp
+++ b/src/load/target_record.cpp
@@ -1,4 +1,4 @@
-// Observations of one target.
+// Latency, failure and ejection state of one target.
 #include "load/target_record.h"
 
 #include <algorithm>
@@ -9,11 +9,15 @@
 
 namespace {
 
+/// Smoothing factor: weight of the newest sample in the mean latency.
 constexpr double SampleWeight = 1.0 / 8;
-/// Time in which the peak falls towards the mean by a factor e.
-constexpr double PeakDecay = 2'000'000;
-/// A failure costs as much as this many ordinary answers.
+/// Time constant in microseconds: the distance of the peak from the mean decays
+/// by a factor of e in it.
+constexpr double PeakDecayMicros = 2'000'000;
+/// A failure counts as a latency of this many times its own or the mean one,
+/// whichever is larger.
 constexpr double FailureCost = 4;
+/// Delay of the first probe after an ejection; it doubles with each further one.
 constexpr Duration FirstProbeDelay = std::chrono::seconds(1);
 constexpr std::uint32_t MaxProbeDoublings = 4;
 
@@ -22,7 +26,7 @@
 void TargetRecord::started(TimePoint Now) { m_Starts.insert(Now); }
 
 void TargetRecord::finished(Duration Latency, bool Failed, TimePoint Now) {
-  forgetStart(Now - Latency);
+  removeStart(Now - Latency);
   const auto Microseconds = static_cast<double>(Latency.count());
   if (Failed) {
     ++m_FailuresInRow;
@@ -35,21 +39,22 @@
 }
 
 void TargetRecord::abandoned(Duration Waited, TimePoint Now) {
-  forgetStart(Now - Waited);
+  removeStart(Now - Waited);
   const auto Microseconds = static_cast<double>(Waited.count());
   if (Microseconds <= m_Mean)
     return;
-  // The rest of the latency is unknown; a memoryless one goes on for a mean.
+  // The full latency is unknown. If latencies are memoryless, the expected
+  // remainder is the mean.
   const double Estimate = Microseconds + m_Mean;
   m_Latencies.add(Duration(static_cast<Duration::rep>(Estimate)));
   observe(Estimate, Now);
 }
 
-double TargetRecord::cost(TimePoint Now, double Unknown) const {
+double TargetRecord::cost(TimePoint Now, double DefaultLatency) const {
   const auto Since = static_cast<double>((Now - m_LastSample).count());
-  double Latency = m_Samples == 0 ? Unknown : m_Mean;
+  double Latency = m_Samples == 0 ? DefaultLatency : m_Mean;
   if (m_Peak > m_Mean)
-    Latency += (m_Peak - m_Mean) * std::exp(-Since / PeakDecay);
+    Latency += (m_Peak - m_Mean) * std::exp(-Since / PeakDecayMicros);
   if (!m_Starts.empty()) {
     const Duration Oldest = Now - *m_Starts.begin();
     Latency = std::max(Latency, static_cast<double>(Oldest.count()));
@@ -60,7 +65,8 @@
 double TargetRecord::meanLatency(TimePoint Now) const {
   if (m_Starts.empty())
     return m_Mean;
-  // The median of the waiting ones: a single long request proves nothing.
+  // The median of the ages of the unanswered requests is used, as a single long
+  // request is no evidence of a slow target.
   const auto Middle = std::next(
       m_Starts.begin(), static_cast<std::ptrdiff_t>(m_Starts.size() / 2));
   return std::max(m_Mean, static_cast<double>((Now - *Middle).count()));
@@ -88,14 +94,14 @@
 void TargetRecord::observe(double Microseconds, TimePoint Now) {
   const auto Since = static_cast<double>((Now - m_LastSample).count());
   m_Peak = std::max(Microseconds,
-                    m_Mean + (m_Peak - m_Mean) * std::exp(-Since / PeakDecay));
+                    m_Mean + (m_Peak - m_Mean) * std::exp(-Since / PeakDecayMicros));
   m_Mean = m_Samples == 0 ? Microseconds
                           : m_Mean + (Microseconds - m_Mean) * SampleWeight;
   m_LastSample = Now;
   ++m_Samples;
 }
 
-void TargetRecord::forgetStart(TimePoint Start) {
+void TargetRecord::removeStart(TimePoint Start) {
   if (m_Starts.empty())
     return;
   auto Closest = m_Starts.lower_bound(Start);
--- a/src/load/target_record.h
+++ b/src/load/target_record.h
@@ -1,4 +1,5 @@
-// What this daemon saw of one target of a service not divided by key.
+// Statistics of this daemon on one target of a service that is not divided by
+// key.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -15,38 +16,42 @@
 public:
   void started(TimePoint Now);
   void finished(Duration Latency, bool Failed, TimePoint Now);
-  /// The answer was not awaited; it would have taken longer than \p Waited.
+  /// Records a request that was given up after \p Waited without an answer.
   void abandoned(Duration Waited, TimePoint Now);
 
-  /// Expected cost of one more request; lower is better. An unanswered request
-  /// counts with the time it has waited so far.
+  /// Expected cost of sending one more request; lower is better. The latency is
+  /// taken to be at least the age of the oldest unanswered request.
   ///
-  /// \param Unknown latency assumed before the first sample, microseconds.
-  double cost(TimePoint Now, double Unknown) const;
-  /// Smoothed latency in microseconds, 0 if unknown.
+  /// \param Unknown latency assumed before the first sample, in microseconds.
+  double cost(TimePoint Now, double DefaultLatency) const;
+  /// Moving average of the latency in microseconds; 0 if unknown. At least the
+  /// median age of the unanswered requests.
   double meanLatency(TimePoint Now) const;
   std::size_t inFlight() const { return m_Starts.size(); }
   const LatencyHistogram &latencies() const { return m_Latencies; }
   std::uint32_t samples() const { return m_Samples; }
   std::uint32_t failuresInRow() const { return m_FailuresInRow; }
 
-  /// Takes the target out; a probe is due after a growing delay.
+  /// Ejects the target, or renews its ejection; a probe is due after a delay
+  /// that doubles each time.
   void eject(TimePoint Now);
   bool ejected() const { return m_Ejected; }
-  /// An ejected target may get one request to see how it does.
+  /// Whether the target is ejected and may now get one request as a probe.
   bool probeDue(TimePoint Now) const;
-  /// Takes the target back with the latency of a good probe.
+  /// Ends the ejection, with the latency of the successful probe as the mean.
   void restore(Duration Latency);
   TimePoint lastSample() const { return m_LastSample; }
 
 private:
   void observe(double Microseconds, TimePoint Now);
-  void forgetStart(TimePoint Start);
+  void removeStart(TimePoint Start);
 
   LatencyHistogram m_Latencies;
   // Start times of the requests in flight.
   std::multiset<TimePoint> m_Starts;
+  /// Moving average of the latency, in microseconds.
   double m_Mean = 0;
+  /// Peak latency that decays towards the mean, in microseconds.
   double m_Peak = 0;
   TimePoint m_LastSample;
   std::uint32_t m_Samples = 0;
