--- a/include/balsamwheel/detail/keyspace/hold_ledger.h
+++ b/include/balsamwheel/detail/keyspace/hold_ledger.h
@@ -1,9 +1,10 @@
-// What one target holds: the grants its heartbeats are answered with, and the
-// keys it has given back. Pure.
+// Tracks which keys one target holds: the grants in the answers to its
+// heartbeats, and the keys that it has released. Performs no I/O and reads no
+// clock.
 //
-// A hold runs from the moment at which the heartbeat was sent, so it never
-// outlasts the heartbeat's arrival by more than the hold time on the slowest
-// clock, however late the answer gets through.
+// At the target a hold starts when the heartbeat is sent. It therefore ends at
+// most one hold time, on the slowest permitted clock, after the heartbeat
+// arrived, however late the answer is delivered.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -15,18 +16,22 @@
 namespace balsamwheel {
 
 struct HoldOptions {
-  /// How long a grant lasts at the target.
+  /// Validity of a grant, on the target's clock.
   Duration m_Hold = std::chrono::seconds(7);
-  /// How far a target's clock may run slow, as a factor on the hold.
+  /// Maximum length of a hold on a slow target clock, as a factor of m_Hold.
   double m_SlowClockFactor = 1.02;
-  /// Added to the end of a hold for what clocks and timers round.
+  /// Added to the end of a hold to cover rounding by clocks and timers.
   Duration m_Margin = std::chrono::milliseconds(300);
 };
 
-/// How long after a revocation its owner may still hold keys: a daemon that
-/// knows nothing of it grants for \p Authority after its last check, and the
-/// last grant lasts a hold on the slowest clock.
-Duration revocationWait(const HoldOptions &Holds, Duration Authority);
+/// Maximum time after a revocation for which the revoked owner may still hold
+/// its keys: a daemon that has not seen the revocation grants keys for up to
+/// \p MaxMapAge after its last check of the map, and the last grant is valid
+/// for a hold time on the slowest permitted clock.
+Duration revocationWait(const HoldOptions &Holds, Duration MaxMapAge);
+
+/// Keys that a target reports to hold. Both ends belong to the span, here and
+/// below.
 
 struct HeldSpan {
   KeyIndex m_First = 0;
@@ -34,15 +39,18 @@
   Epoch m_Fence;
 };
 
+/// Keys that a target has released.
 struct ReleasedSpan {
   KeyIndex m_First = 0;
   KeyIndex m_Last = 0;
-  /// Lets the next owner start warm; empty when there is none.
+  /// Handover token, with which the next owner can start with a warm state;
+  /// empty when there is none.
   std::string m_Handover;
 
   bool operator==(const ReleasedSpan &) const = default;
 };
 
+/// Keys that a target may hold.
 struct GrantSpan {
   KeyIndex m_First = 0;
   KeyIndex m_Last = 0;
@@ -50,12 +58,13 @@
   std::string m_Handover;
 };
 
-/// What one heartbeat says of keys.
+/// The part of a heartbeat that concerns keys.
 struct HoldReport {
   std::vector<HeldSpan> m_Holds;
   std::vector<ReleasedSpan> m_Released;
 };
 
+/// Not thread-safe.
 class HoldLedger {
 public:
   HoldLedger(HoldOptions Options, KeyOwner Self)
@@ -63,34 +72,41 @@
 
   const KeyOwner &self() const { return m_Self; }
 
-  /// Takes in a heartbeat; call before grant().
+  /// Processes a heartbeat; to be called before grant().
   void report(const HoldReport &Report);
-  /// The grants that answer a heartbeat that arrived at \p Arrived; none
-  /// renews nothing. Only a daemon that knows the map to be in force at
-  /// \p Arrived may call it.
+  /// Returns the grants for the answer to a heartbeat that arrived at
+  /// \p Arrived; an empty result renews no hold. To be called only by a daemon
+  /// that knows that \p Map is in force at \p Arrived.
   std::vector<GrantSpan> grant(const KeyMap &Map, TimePoint Arrived);
 
-  /// Whether the target holds the key for certain at \p Now.
+  /// Whether the target certainly holds the key at \p Now, on any permitted
+  /// clock.
   bool holds(KeyIndex Key, TimePoint Now) const;
-  /// Whether the map gives the key to this target.
+  /// Whether the map assigns the key to this target, now or once the present
+  /// owner has released it.
   bool owns(const KeyMap &Map, KeyIndex Key) const;
-  /// From then on the target holds nothing any more, unless it gets a grant.
+  /// Time from which on the target certainly holds no keys, unless it gets
+  /// another grant.
   TimePoint heldUntil() const { return m_HeldUntil; }
 
-  /// Keys that the map wants back and the target has given up.
+  /// Returns the keys that the map takes away from this target and that the
+  /// target has released.
   std::vector<ReleasedSpan> completions(const KeyMap &Map) const;
 
 private:
-  /// Heartbeats in a row without a span before it counts as given up.
-  static constexpr int SilentReports = 2;
+  /// Heartbeats since the last change of the grants after which keys that are
+  /// neither reported nor granted count as released.
+  static constexpr int ReportsUntilReleased = 2;
 
   HoldOptions m_Options;
   KeyOwner m_Self;
   std::vector<GrantSpan> m_Granted;
+  /// Until then the target holds m_Granted, even on the fastest clock.
   TimePoint m_GrantedUntil;
+  /// Until then the target may hold m_Granted, on the slowest clock.
   TimePoint m_HeldUntil;
   std::vector<HeldSpan> m_Reported;
-  /// Reports since the last grant changed.
+  /// Heartbeats since the last change of the granted spans.
   int m_ReportsSinceChange = 0;
   std::vector<ReleasedSpan> m_Released;
 };
--- a/include/balsamwheel/detail/keyspace/key_map.h
+++ b/include/balsamwheel/detail/keyspace/key_map.h
@@ -1,4 +1,4 @@
-// Who owns which keys of one service that is divided by key.
+// Assignment of keys to owners, for one service that is divided by key.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -16,18 +16,18 @@
 
 inline constexpr std::uint32_t KeyCount = 65536;
 
-/// One life of a target. A target that starts again is another incarnation,
-/// under the same id or another.
+/// One run of a target process. A target that restarts is a new incarnation,
+/// with the same id or another one.
 struct TargetIncarnation {
   std::string m_Id;
-  /// Milliseconds since the Unix epoch at its start; orders the incarnations
-  /// that share an instance.
+  /// Start time in milliseconds since the Unix epoch; orders the incarnations
+  /// on one instance.
   std::int64_t m_BornMs = 0;
 
   auto operator<=>(const TargetIncarnation &) const = default;
 };
 
-/// An owner of keys: the target, and the instance whose daemon speaks to it.
+/// An owner of keys: the target, and the instance whose daemon serves it.
 struct KeyOwner {
   InstanceName m_Instance;
   TargetIncarnation m_Target;
@@ -36,62 +36,65 @@
 };
 
 enum class SpanState : std::uint8_t {
-  /// Nobody holds the keys and nobody can still hold them.
+  /// No target holds the keys, and no former owner can still hold them.
   Free,
   Owned,
-  /// The owner keeps serving until its daemon takes the keys back, then the
-  /// heir gets them with the owner's handover token.
+  /// The owner keeps serving until it has released the keys; then the next
+  /// owner gets them with the handover token.
   Releasing,
-  /// The owner is out of reach; its hold may still run.
+  /// The owner is unreachable; its hold may still be valid.
   Revoked,
 };
 
-/// Adjacent keys with the same fate. Both ends belong to the span.
+/// Adjacent keys with the same state and owner. Both ends belong to the span.
 struct KeySpan {
   KeyIndex m_First = 0;
   KeyIndex m_Last = 0;
   SpanState m_State = SpanState::Free;
-  /// The present owner, or the last one.
+  /// The present owner, or the last one of keys that have none.
   KeyOwner m_Owner;
-  /// Only for Releasing.
+  /// Owner after the release; only for SpanState::Releasing.
   KeyOwner m_Heir;
-  /// Fencing token of the present or last owner; 0 when there was none.
+  /// Fencing token of m_Owner; 0 when there was no owner yet.
   Epoch m_Fence;
-  /// Token with which the present owner got the keys from the last one;
-  /// empty when that one was lost.
+  /// Handover token that the present owner got with the keys; empty when the
+  /// previous owner was lost.
   std::string m_Handover;
 
   std::uint32_t size() const { return std::uint32_t{m_Last} - m_First + 1; }
   bool operator==(const KeySpan &) const = default;
 };
 
-/// Value type. Invariants: the spans cover every key once, in order; fencing
-/// tokens given out by nextFence() only grow.
+/// Value type. Invariants: the spans cover every key exactly once, in ascending
+/// order; the fencing tokens returned by issueFence() increase strictly.
 class KeyMap {
 public:
-  /// All keys are free.
+  /// Creates a map in which all keys are free.
   KeyMap();
 
   const std::vector<KeySpan> &spans() const { return m_Spans; }
   const KeySpan &find(KeyIndex Key) const;
 
-  /// Replaces what the map says of the keys of \p Span, splitting the spans
-  /// at its ends. Complexity: linear in the number of spans.
+  /// Replaces the entries of the keys of \p Span, splitting existing spans at
+  /// its ends. Complexity: linear in the number of spans.
   void assign(const KeySpan &Span);
-  /// Joins neighbours that differ in nothing but their keys.
+  /// Merges adjacent spans that differ only in their keys.
   void normalize();
-  Epoch takeFence() { return Epoch(++m_LastFence); }
+  /// Returns a new fencing token, greater than all before.
+  Epoch issueFence() { return Epoch(++m_LastFence); }
 
-  /// Encodes the map as a row of the platform's table.
+  /// Encodes the map as JSON, for a row of the platform's table.
   std::string toText() const;
-  /// \returns none when \p Text is no sound map.
+  /// Decodes a map.
+  ///
+  /// \returns std::nullopt when \p Text is not a valid map.
   static std::optional<KeyMap> fromText(const std::string &Text);
 
   bool operator==(const KeyMap &) const = default;
 
 private:
   std::vector<KeySpan> m_Spans;
-  /// Highest fencing token given out.
+  /// Highest fencing token issued.
   std::uint64_t m_LastFence = 0;
 };
 
--- a/include/balsamwheel/detail/keyspace/key_planner.h
+++ b/include/balsamwheel/detail/keyspace/key_planner.h
@@ -1,6 +1,7 @@
-// Decides who should own which keys: first assignment, replacement of lost
-// owners, planned moves. Pure: every function edits a copy of the map, which
-// counts only once it is committed against the version it was made from.
+// Plans the assignment of keys to targets: initial assignment, replacement of
+// lost owners, planned moves. Performs no I/O and reads no clock: every
+// function returns a changed copy of the map, which takes effect only when it
+// is committed against the version that it was derived from.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -12,87 +13,93 @@
 
 namespace balsamwheel {
 
-/// Load of a service's keys, in slices of equal size. A hot stretch is some 60
-/// to 200 keys long.
+/// The load of a service's keys is measured in slices of equal size. A hot range
+/// is typically 60 to 200 keys long.
 inline constexpr std::size_t KeySlices = 1024;
 inline constexpr std::uint32_t KeysPerSlice = KeyCount / KeySlices;
-/// Work a second, in busy slots, that the keys of each slice cause.
+/// Load of the keys of each slice: slot time per second, i.e. the mean number of
+/// busy slots.
 using SliceLoads = std::array<float, KeySlices>;
 
 enum class TargetCondition : std::uint8_t {
-  /// May own keys.
+  /// May keep and get keys.
   Fit,
-  /// Keeps what it owns, gets nothing new.
+  /// Keeps its keys, but gets no new ones.
   Shaken,
-  /// Alive, but is to give its keys up in order.
+  /// Alive, but has to release its keys with a handover.
   Leaving,
-  /// Known to hold nothing any more.
+  /// Certainly holds no keys any more.
   Ended,
-  /// Out of reach; what it holds is unknown.
+  /// Unreachable; it is unknown which keys it holds.
   Lost,
 };
 
 struct KeyCandidate {
   KeyOwner m_Owner;
   TargetCondition m_Condition = TargetCondition::Fit;
-  /// Relative capacity; 1 is usual.
+  /// Capacity relative to a usual target, whose capacity is 1.
   double m_Capacity = 1;
 };
 
 struct KeyPlannerOptions {
-  /// From the moment a revocation is seen in the table until the revoked
-  /// owner can hold nothing any more; see revocationWait().
+  /// Time from seeing a revocation in the table until the revoked owner can't
+  /// hold any key any more; see revocationWait().
   Duration m_RevocationWait = std::chrono::seconds(11);
-  /// Share of a target's fair part of the load by which it may exceed it
-  /// before keys move.
+  /// Fraction of a target's fair share of the load by which its load may differ
+  /// from that share before keys move.
   double m_Tolerance = 0.4;
 };
 
-/// Keeps since when each revocation has been seen. Not thread-safe.
+/// Plans changes of the key map. Remembers when each revocation was first seen.
+/// Not thread-safe.
 class KeyPlanner {
 public:
   explicit KeyPlanner(KeyPlannerOptions Options) : m_Options(Options) {}
 
-  /// Notes what a newly seen version of the map revokes.
+  /// Records the revocations in a new version of the map.
   void observe(const KeyMap &Map, TimePoint Now);
 
-  /// The next state of the map; equal to \p Map when nothing is to be done.
+  /// Returns the next state of the map; equal to \p Map when there is nothing to
+  /// do.
   ///
-  /// Rules, in order: lost owners are revoked; revocations whose wait is over
-  /// become free; owners that leave release to heirs; free keys go to the
-  /// target with the least load for its capacity; a target with far more than
-  /// its fair part releases the slices that exceed it.
+  /// Rules, in order: the keys of lost owners are revoked; revoked keys become
+  /// free when the revocation wait is over; leaving owners release their keys to
+  /// next owners; free keys go to the target with the least load relative to
+  /// its capacity; if no other change is pending and the loads differ too much
+  /// from the fair share, the most loaded targets release their hottest keys.
   ///
-  /// Complexity: linear in spans, plus slices times candidates.
+  /// Complexity: linear in the spans, plus slices times candidates.
   KeyMap plan(const KeyMap &Map, const std::vector<KeyCandidate> &Candidates,
               const SliceLoads &Loads, TimePoint Now) const;
 
 private:
-  struct RevocationKey {
+  struct RevocationId {
     KeyIndex m_First;
     KeyIndex m_Last;
     Epoch m_Fence;
-    auto operator<=>(const RevocationKey &) const = default;
+    auto operator<=>(const RevocationId &) const = default;
   };
 
-  static RevocationKey keyOf(const KeySpan &Span) {
+  static RevocationId revocationId(const KeySpan &Span) {
     return {Span.m_First, Span.m_Last, Span.m_Fence};
   }
 
   KeyPlannerOptions m_Options;
-  std::map<RevocationKey, TimePoint> m_RevokedSince;
+  std::map<RevocationId, TimePoint> m_RevokedSince;
 };
 
-/// Gives the keys of earlier incarnations on an instance to its present one:
-/// a target that has started again proves that the earlier one has ended.
+/// Assigns the keys of earlier incarnations on an instance to the present one:
+/// a restart of the target proves that the earlier incarnation has ended.
 KeyMap adoptEarlierIncarnations(const KeyMap &Map, const KeyOwner &Present);
 
-/// The owner gave the keys of [First, Last] up with \p Token: what it was to
-/// release passes to the heirs, what was revoked becomes free.
+/// Applies that \p Owner has released the keys in [First, Last] with handover
+/// token \p Token: releasing spans pass to their next owners, revoked spans
+/// become free.
 KeyMap completeRelease(const KeyMap &Map, const KeyOwner &Owner, KeyIndex First,
                        KeyIndex Last, const std::string &Token);
 
-/// The owner's hold has certainly ended without a handover.
+/// Makes all keys of \p Owner free; to be called when its hold has certainly
+/// ended, without a handover.
 KeyMap freeOwnedBy(const KeyMap &Map, const KeyOwner &Owner);
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/routing/route_table.h
+++ b/include/balsamwheel/detail/routing/route_table.h
@@ -1,5 +1,5 @@
-// One version of the routing configuration: which service serves a host and
-// path, and on which terms.
+// One version of the routing configuration: maps host and path to services, with
+// the limits that apply.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -15,7 +15,7 @@
 
 namespace balsamwheel {
 
-/// What may be repeated follows from the kind.
+/// Kind of the requests of a route; only idempotent ones may be repeated.
 enum class RouteKind : std::uint8_t {
   Idempotent,
   NonIdempotent,
@@ -23,24 +23,24 @@
   Download,
 };
 
-/// A part of a route's traffic.
+/// A service that gets a part of a route's traffic.
 struct RouteShare {
   ServiceName m_Service;
-  /// Relative to the other shares of the route; positive.
+  /// Relative to the weights of the route's other shares; positive.
   std::uint32_t m_Weight = 1;
 };
 
 struct Route {
   std::string m_Name;
   std::string m_Host;
-  /// Begins and ends with a slash.
+  /// Path prefix; begins and ends with a slash.
   std::string m_Prefix;
   RouteKind m_Kind = RouteKind::NonIdempotent;
-  /// Longest time a caller is kept waiting.
+  /// Maximum time for which a caller waits for the answer.
   Duration m_Timeout{0};
-  /// An answer within this time is worth most to the caller.
+  /// Latency that answers should not exceed.
   Duration m_LatencyObjective{0};
-  /// Most targets one caller attempt may be sent to.
+  /// Maximum number of targets to which one attempt of a caller may be sent.
   std::uint32_t m_MaxAttempts = 1;
   /// 0 is the most urgent.
   std::uint32_t m_Priority = 0;
@@ -52,16 +52,17 @@
 
 struct ServiceSpec {
   ServiceName m_Name;
-  /// Connections that one target of the service accepts, from all callers.
+  /// Maximum number of connections that one target of the service accepts, from
+  /// all callers together.
   std::uint32_t m_MaxConnections = 64;
-  /// How long a target stays cold after its start.
+  /// How long a target is cold after its start.
   Duration m_ColdStart{0};
-  /// Requests a second that a cold target bears; 0 means no limit.
+  /// Requests per second that a cold target can handle; 0 means no limit.
   double m_ColdRate = 0;
   bool m_DividedByKey = false;
 };
 
-/// Bounds on what a caller may send.
+/// Limits of requests and connections of callers.
 struct CallerLimits {
   std::size_t m_MaxHeaderBytes = 16384;
   std::size_t m_MaxBodyBytes = std::size_t{64} << 20;
@@ -69,20 +70,21 @@
   Duration m_IdleTimeout = std::chrono::seconds(15);
 };
 
-/// Immutable. Invariant: every share of every route names a service of the
-/// table, see problem().
+/// Immutable. In a table without a problem(), every share of every route names a
+/// service of the table.
 class RouteTable {
 public:
   RouteTable() = default;
   RouteTable(ConfigVersion Version, std::vector<ServiceSpec> Services,
              CallerLimits Limits, std::vector<Route> Routes);
 
-  /// The route of \p Host whose prefix is the longest that begins \p Path;
-  /// null when none matches. Complexity: one lookup for each slash in the path.
+  /// Finds the route of \p Host with the longest prefix of \p Path; null when
+  /// none matches. A query or fragment in \p Path is ignored.
+  /// Complexity: one lookup per slash in the path.
   const Route *match(std::string_view Host, std::string_view Path) const;
-  /// Null when the table has no such service.
+  /// Returns null when the table has no such service.
   const ServiceSpec *service(const ServiceName &Name) const;
-  /// Why the table must not be used; none when it is sound.
+  /// Returns why the table is invalid; std::nullopt when it is valid.
   std::optional<std::string> problem() const;
 
   ConfigVersion version() const { return m_Version; }
@@ -94,13 +96,13 @@
   CallerLimits m_Limits;
   std::map<ServiceName, ServiceSpec> m_Services;
   std::vector<Route> m_Routes;
-  /// Host and prefix, joined, to the index of the route.
+  /// Maps the concatenation of host and prefix to the index of the route.
   std::unordered_map<std::string, std::size_t> m_Index;
 };
 
-/// Chooses a share of the route by weight.
+/// Chooses one of the route's services by weight.
 ///
 /// \param Random uniform 64-bit number.
-const ServiceName &chooseShare(const Route &Of, std::uint64_t Random);
+const ServiceName &chooseShare(const Route &Chosen, std::uint64_t Random);
 
 } // namespace balsamwheel
--- a/src/keyspace/hold_ledger.cpp
+++ b/src/keyspace/hold_ledger.cpp
@@ -1,4 +1,4 @@
-// Grants, and which keys have come back.
+// Computes grants and detects released keys.
 #include "balsamwheel/detail/keyspace/hold_ledger.h"
 
 #include <algorithm>
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Requests are sent only while this part of a hold is left, so that the
-/// target's clock may run fast.
+/// Length of a hold on a fast target clock, as a factor of m_Hold: requests are
+/// sent only until then.
 constexpr double FastClockFactor = 0.97;
-/// Tokens of released keys kept until the map says who got the keys.
+/// Maximum number of released spans that are kept until the map shows their new
+/// owner.
 constexpr std::size_t MaxReleased = 256;
 
 Duration scale(Duration Value, double Factor) {
@@ -26,16 +27,16 @@
 bool sameKeys(const std::vector<GrantSpan> &Left,
               const std::vector<GrantSpan> &Right) {
   return std::equal(Left.begin(), Left.end(), Right.begin(), Right.end(),
-                    [](const GrantSpan &A, const GrantSpan &B) {
-                      return A.m_First == B.m_First && A.m_Last == B.m_Last &&
-                             A.m_Fence == B.m_Fence;
+                    [](const GrantSpan &First, const GrantSpan &Second) {
+                      return First.m_First == Second.m_First && First.m_Last == Second.m_Last &&
+                             First.m_Fence == Second.m_Fence;
                     });
 }
 
 } // namespace
 
-Duration revocationWait(const HoldOptions &Holds, Duration Authority) {
-  return Authority + scale(Holds.m_Hold, Holds.m_SlowClockFactor) +
+Duration revocationWait(const HoldOptions &Holds, Duration MaxMapAge) {
+  return MaxMapAge + scale(Holds.m_Hold, Holds.m_SlowClockFactor) +
          2 * Holds.m_Margin;
 }
 
@@ -89,24 +90,24 @@
 std::vector<ReleasedSpan> HoldLedger::completions(const KeyMap &Map) const {
   std::vector<ReleasedSpan> Result;
   for (const KeySpan &Span : Map.spans()) {
-    const bool Wanted = Span.m_State == SpanState::Releasing ||
+    const bool MustRelease = Span.m_State == SpanState::Releasing ||
                         Span.m_State == SpanState::Revoked;
-    if (!Wanted || Span.m_Owner != m_Self)
+    if (!MustRelease || Span.m_Owner != m_Self)
       continue;
-    bool Told = false;
+    bool HasToken = false;
     for (const ReleasedSpan &Each : m_Released)
       if (overlaps(Each, Span.m_First, Span.m_Last)) {
-        Told = true;
+        HasToken = true;
         Result.push_back({.m_First = std::max(Each.m_First, Span.m_First),
                           .m_Last = std::min(Each.m_Last, Span.m_Last),
                           .m_Handover = Each.m_Handover});
       }
-    const auto Busy = [&](const auto &Each) {
+    const auto InUse = [&](const auto &Each) {
       return overlaps(Each, Span.m_First, Span.m_Last);
     };
-    if (Told || m_ReportsSinceChange < SilentReports ||
-        std::any_of(m_Reported.begin(), m_Reported.end(), Busy) ||
-        std::any_of(m_Granted.begin(), m_Granted.end(), Busy))
+    if (HasToken || m_ReportsSinceChange < ReportsUntilReleased ||
+        std::any_of(m_Reported.begin(), m_Reported.end(), InUse) ||
+        std::any_of(m_Granted.begin(), m_Granted.end(), InUse))
       continue;
     Result.push_back({.m_First = Span.m_First, .m_Last = Span.m_Last});
   }
--- a/src/keyspace/key_map.cpp
+++ b/src/keyspace/key_map.cpp
@@ -1,4 +1,4 @@
-// The map of key spans and its encoding as a table row.
+// Map of key spans and its encoding as a table row.
 #include "balsamwheel/detail/keyspace/key_map.h"
 
 #include <algorithm>
@@ -15,13 +15,13 @@
       {Owner.m_Instance.value(), Owner.m_Target.m_Id, Owner.m_Target.m_BornMs});
 }
 
-KeyOwner decodeOwner(const json &From) {
-  return {.m_Instance = InstanceName(From.at(0).get<std::string>()),
-          .m_Target = {.m_Id = From.at(1).get<std::string>(),
-                       .m_BornMs = From.at(2).get<std::int64_t>()}};
+KeyOwner decodeOwner(const json &Encoded) {
+  return {.m_Instance = InstanceName(Encoded.at(0).get<std::string>()),
+          .m_Target = {.m_Id = Encoded.at(1).get<std::string>(),
+                       .m_BornMs = Encoded.at(2).get<std::int64_t>()}};
 }
 
-bool alike(const KeySpan &Left, const KeySpan &Right) {
+bool sameExceptKeys(const KeySpan &Left, const KeySpan &Right) {
   return Left.m_State == Right.m_State && Left.m_Owner == Right.m_Owner &&
          Left.m_Heir == Right.m_Heir && Left.m_Fence == Right.m_Fence &&
          Left.m_Handover == Right.m_Handover;
@@ -76,7 +76,7 @@
 void KeyMap::normalize() {
   std::vector<KeySpan> Result;
   for (const KeySpan &Span : m_Spans) {
-    if (!Result.empty() && alike(Result.back(), Span))
+    if (!Result.empty() && sameExceptKeys(Result.back(), Span))
       Result.back().m_Last = Span.m_Last;
     else
       Result.push_back(Span);
@@ -95,11 +95,11 @@
 
 std::optional<KeyMap> KeyMap::fromText(const std::string &Text) {
   try {
-    const json From = json::parse(Text);
+    const json Encoded = json::parse(Text);
     KeyMap Map;
-    Map.m_LastFence = From.at("last_fence").get<std::uint64_t>();
+    Map.m_LastFence = Encoded.at("last_fence").get<std::uint64_t>();
     Map.m_Spans.clear();
-    for (const json &Each : From.at("spans")) {
+    for (const json &Each : Encoded.at("spans")) {
       const int State = Each.at(2).get<int>();
       if (State < 0 || State > static_cast<int>(SpanState::Revoked))
         return std::nullopt;
--- a/src/keyspace/key_planner.cpp
+++ b/src/keyspace/key_planner.cpp
@@ -1,4 +1,4 @@
-// Rules by which keys change hands.
+// Rules for assigning, moving and revoking keys.
 #include "balsamwheel/detail/keyspace/key_planner.h"
 
 #include <algorithm>
@@ -9,41 +9,43 @@
 
 namespace {
 
-/// Load of a key beside what was measured, in busy slots a second: keeps keys
-/// spread when nothing has been measured yet.
-constexpr double LoadPerKey = 1.0 / KeyCount;
-/// Keys move in steps of this many.
+/// Load that is added to the measured load of each key, in busy slots: keeps the
+/// keys evenly distributed when no load has been measured yet.
+constexpr double BaseLoadPerKey = 1.0 / KeyCount;
+/// Granularity of moves, in keys.
 constexpr std::uint32_t StepKeys = 16;
-/// Planned moves that one plan begins.
+/// Maximum number of planned moves that one plan starts.
 constexpr int MaxMovesPerPlan = 6;
-/// Spans of one owner beyond which none is split off: a grant of them all has
-/// to fit the answer to a heartbeat.
+/// No span is split off from an owner with this many: the grants of all its
+/// spans have to fit into the answer to a heartbeat.
 constexpr std::size_t MaxSpansPerOwner = 60;
 
-/// A slice counts for at most this many fair parts of the load: what a single
-/// key causes beyond can't be served, wherever its slice is.
-constexpr double MostFairPartsOfSlice = 1.5;
-/// Rounds in which the fair part and the bound on slices settle.
-constexpr int BoundRounds = 12;
+/// Maximum load of a slice for planning, in fair shares per unit of capacity:
+/// the load of a single key beyond it can't be served, whichever target owns the
+/// slice.
+constexpr double MaxSliceFairShares = 1.5;
+/// Iterations in which the fair share and the cap of the slices, which depend on
+/// each other, converge.
+constexpr int CapRounds = 12;
 
-/// Bounds the load of each slice for a service of this capacity.
-SliceLoads bounded(const SliceLoads &Loads, double Capacity) {
+/// Caps the load of each slice, for a service of the given capacity.
+SliceLoads capSliceLoads(const SliceLoads &Loads, double Capacity) {
   SliceLoads Result = Loads;
-  if (Capacity <= MostFairPartsOfSlice)
+  if (Capacity <= MaxSliceFairShares)
     return Result;
-  for (int Round = 0; Round < BoundRounds; ++Round) {
+  for (int Round = 0; Round < CapRounds; ++Round) {
     double Sum = 0;
     for (const float Load : Result)
       Sum += Load;
-    const auto Bound =
-        static_cast<float>(MostFairPartsOfSlice * Sum / Capacity);
+    const auto Cap =
+        static_cast<float>(MaxSliceFairShares * Sum / Capacity);
     for (float &Load : Result)
-      Load = std::min(Load, Bound);
+      Load = std::min(Load, Cap);
   }
   return Result;
 }
 
-double capacityOf(const std::vector<KeyCandidate> &Candidates) {
+double eligibleCapacity(const std::vector<KeyCandidate> &Candidates) {
   double Sum = 0;
   for (const KeyCandidate &Each : Candidates)
     if (Each.m_Condition == TargetCondition::Fit)
@@ -51,15 +53,15 @@
   return Sum;
 }
 
-/// Load of some keys, by the slices they touch.
+/// Computes the load of a range of keys from the loads of its slices.
 class LoadIndex {
 public:
   explicit LoadIndex(const SliceLoads &Loads) {
     for (std::size_t Slice = 0; Slice < KeySlices; ++Slice)
-      m_PerKey[Slice] = Loads[Slice] / KeysPerSlice + LoadPerKey;
+      m_PerKey[Slice] = Loads[Slice] / KeysPerSlice + BaseLoadPerKey;
   }
 
-  double of(std::uint32_t First, std::uint32_t Last) const {
+  double loadOf(std::uint32_t First, std::uint32_t Last) const {
     double Sum = 0;
     while (First <= Last) {
       const std::uint32_t Slice = First / KeysPerSlice;
@@ -74,32 +76,34 @@
   std::array<double, KeySlices> m_PerKey{};
 };
 
-struct Burden {
+/// Load of one eligible target under the plan so far.
+struct TargetLoad {
   KeyCandidate m_Candidate;
   double m_Load = 0;
-  /// None of its keys can move, as they are too hot or too scattered.
-  bool m_Stuck = false;
+  /// No more of its keys can be moved: they are too hot, or in too many spans.
+  bool m_NothingMovable = false;
 
-  double relative() const {
+  double loadPerCapacity() const {
     return m_Load / std::max(m_Candidate.m_Capacity, 0.05);
   }
 };
 
-class Planning {
+/// Working state of one plan: a copy of the map and the loads that result.
+class PlanBuilder {
 public:
-  Planning(const KeyMap &Map, const std::vector<KeyCandidate> &Candidates,
+  PlanBuilder(const KeyMap &Map, const std::vector<KeyCandidate> &Candidates,
            const SliceLoads &Loads)
-      : m_Map(Map), m_Loads(bounded(Loads, capacityOf(Candidates))) {
+      : m_Map(Map), m_Loads(capSliceLoads(Loads, eligibleCapacity(Candidates))) {
     for (const KeyCandidate &Each : Candidates) {
       m_Conditions[Each.m_Owner] = Each.m_Condition;
       if (Each.m_Condition == TargetCondition::Fit)
-        m_Fit.push_back({.m_Candidate = Each});
+        m_Eligible.push_back({.m_Candidate = Each});
     }
     for (const KeySpan &Span : m_Map.spans())
-      addLoad(effectiveOwner(Span), m_Loads.of(Span.m_First, Span.m_Last));
+      addLoad(futureOwner(Span), m_Loads.loadOf(Span.m_First, Span.m_Last));
   }
 
-  bool hasFit() const { return !m_Fit.empty(); }
+  bool hasEligible() const { return !m_Eligible.empty(); }
   KeyMap &map() { return m_Map; }
 
   TargetCondition condition(const KeyOwner &Owner) const {
@@ -107,96 +111,99 @@
     return Found == m_Conditions.end() ? TargetCondition::Lost : Found->second;
   }
 
-  /// Hands the keys of \p Span out, whole or in slices, to the targets with
-  /// the least load; \p Make builds the entry for a receiver.
+  /// Distributes the keys of \p Span, as a whole or in parts, over the targets
+  /// with the least load; \p Make fills in the entry of a part for its receiver.
   template <typename MakeEntry>
   void distribute(const KeySpan &Span, MakeEntry Make) {
-    const double Whole = m_Loads.of(Span.m_First, Span.m_Last);
-    const double Piece = std::max(fairPart() / 8, Whole / 64);
+    const double TotalLoad = m_Loads.loadOf(Span.m_First, Span.m_Last);
+    const double MinPartLoad = std::max(fairShare() / 8, TotalLoad / 64);
     std::uint32_t First = Span.m_First;
     while (First <= Span.m_Last) {
-      Burden &Receiver = leastLoaded();
+      TargetLoad &Receiver = leastLoaded();
       std::uint32_t Last = First;
-      const double Room =
-          std::max(Piece, fairPart() * Receiver.m_Candidate.m_Capacity -
+      const double MaxLoad =
+          std::max(MinPartLoad, fairShare() * Receiver.m_Candidate.m_Capacity -
                               Receiver.m_Load);
-      Last = extend(First, Span.m_Last, Room);
+      Last = endOfRange(First, Span.m_Last, MaxLoad);
       KeySpan Part = Span;
       Part.m_First = static_cast<KeyIndex>(First);
       Part.m_Last = static_cast<KeyIndex>(Last);
       Make(Part, Receiver.m_Candidate.m_Owner);
       m_Map.assign(Part);
-      Receiver.m_Load += m_Loads.of(First, Last);
+      Receiver.m_Load += m_Loads.loadOf(First, Last);
       First = Last + 1;
     }
   }
 
-  /// Moves the hottest keys of the fullest targets to the emptiest ones until
-  /// none has far more or less than its fair part.
-  void relieve(double Tolerance) {
-    if (m_Fit.size() < 2)
+  /// Starts moves of the hottest keys of the most loaded targets to the least
+  /// loaded ones, until no load differs from the fair share by more than
+  /// \p Tolerance.
+  void rebalance(double Tolerance) {
+    if (m_Eligible.size() < 2)
       return;
-    const double Fair = fairPart();
+    const double Fair = fairShare();
     for (int Move = 0; Move < MaxMovesPerPlan;) {
-      Burden &Fullest = *std::max_element(
-          m_Fit.begin(), m_Fit.end(),
-          [](const Burden &Left, const Burden &Right) {
-            return std::pair(!Left.m_Stuck, Left.relative()) <
-                   std::pair(!Right.m_Stuck, Right.relative());
+      TargetLoad &MostLoaded = *std::max_element(
+          m_Eligible.begin(), m_Eligible.end(),
+          [](const TargetLoad &Left, const TargetLoad &Right) {
+            return std::pair(!Left.m_NothingMovable, Left.loadPerCapacity()) <
+                   std::pair(!Right.m_NothingMovable, Right.loadPerCapacity());
           });
-      if (Fullest.m_Stuck)
+      if (MostLoaded.m_NothingMovable)
         return;
-      Burden &Emptiest = leastLoaded();
-      const bool Starved = Emptiest.relative() < Fair * (1 - Tolerance);
-      const bool Overfull = Fullest.relative() > Fair * (1 + Tolerance);
-      if (!Overfull && !Starved)
+      TargetLoad &LeastLoaded = leastLoaded();
+      const bool Underloaded = LeastLoaded.loadPerCapacity() < Fair * (1 - Tolerance);
+      const bool Overloaded = MostLoaded.loadPerCapacity() > Fair * (1 + Tolerance);
+      if (!Overloaded && !Underloaded)
         return;
       const double Excess =
-          std::min(Fullest.m_Load - Fair * Fullest.m_Candidate.m_Capacity,
-                   Fair * Emptiest.m_Candidate.m_Capacity - Emptiest.m_Load);
-      auto Piece = hottestPiece(Fullest.m_Candidate.m_Owner, Excess);
-      if (!Piece) {
-        Fullest.m_Stuck = true;
+          std::min(MostLoaded.m_Load - Fair * MostLoaded.m_Candidate.m_Capacity,
+                   Fair * LeastLoaded.m_Candidate.m_Capacity - LeastLoaded.m_Load);
+      auto Range = hottestRange(MostLoaded.m_Candidate.m_Owner, Excess);
+      if (!Range) {
+        MostLoaded.m_NothingMovable = true;
         continue;
       }
       ++Move;
-      const double Load = m_Loads.of(Piece->m_First, Piece->m_Last);
-      Piece->m_State = SpanState::Releasing;
-      Piece->m_Heir = Emptiest.m_Candidate.m_Owner;
-      m_Map.assign(*Piece);
-      Fullest.m_Load -= Load;
-      Emptiest.m_Load += Load;
+      const double Load = m_Loads.loadOf(Range->m_First, Range->m_Last);
+      Range->m_State = SpanState::Releasing;
+      Range->m_Heir = LeastLoaded.m_Candidate.m_Owner;
+      m_Map.assign(*Range);
+      MostLoaded.m_Load -= Load;
+      LeastLoaded.m_Load += Load;
     }
   }
 
-  bool moving() const {
+  /// Whether any keys are not simply owned.
+  bool hasPendingChanges() const {
     return std::any_of(
         m_Map.spans().begin(), m_Map.spans().end(),
         [](const KeySpan &Span) { return Span.m_State != SpanState::Owned; });
   }
 
 private:
-  static const KeyOwner &effectiveOwner(const KeySpan &Span) {
+  static const KeyOwner &futureOwner(const KeySpan &Span) {
     return Span.m_State == SpanState::Releasing ? Span.m_Heir : Span.m_Owner;
   }
 
   void addLoad(const KeyOwner &Owner, double Load) {
-    for (Burden &Each : m_Fit)
+    for (TargetLoad &Each : m_Eligible)
       if (Each.m_Candidate.m_Owner == Owner)
         Each.m_Load += Load;
   }
 
-  Burden &leastLoaded() {
-    return *std::min_element(m_Fit.begin(), m_Fit.end(),
-                             [](const Burden &Left, const Burden &Right) {
-                               return Left.relative() < Right.relative();
+  TargetLoad &leastLoaded() {
+    return *std::min_element(m_Eligible.begin(), m_Eligible.end(),
+                             [](const TargetLoad &Left, const TargetLoad &Right) {
+                               return Left.loadPerCapacity() < Right.loadPerCapacity();
                              });
   }
 
-  /// The densest keys of an owner that weigh at most \p Room; none when it has
-  /// too many spans already or no step of keys is light enough.
-  std::optional<KeySpan> hottestPiece(const KeyOwner &Owner,
-                                      double Room) const {
+  /// The hottest keys of an owner whose load is about \p MaxLoad at most;
+  /// std::nullopt when the owner has too many spans already or the load of each
+  /// step is too high.
+  std::optional<KeySpan> hottestRange(const KeyOwner &Owner,
+                                      double MaxLoad) const {
     std::optional<KeySpan> Best;
     double BestLoad = 0;
     std::size_t Spans = 0;
@@ -208,8 +215,8 @@
            First += StepKeys) {
         const std::uint32_t Last =
             std::min<std::uint32_t>(Span.m_Last, First + StepKeys - 1);
-        const double Load = m_Loads.of(First, Last);
-        if (Load > Room * 1.25 || Load <= BestLoad)
+        const double Load = m_Loads.loadOf(First, Last);
+        if (Load > MaxLoad * 1.25 || Load <= BestLoad)
           continue;
         Best = Span;
         Best->m_First = static_cast<KeyIndex>(First);
@@ -219,51 +226,52 @@
     }
     if (!Best || Spans >= MaxSpansPerOwner)
       return std::nullopt;
-    grow(*Best, m_Map.find(Best->m_First), Room);
+    extendRange(*Best, m_Map.find(Best->m_First), MaxLoad);
     return Best;
   }
 
-  /// Adds the denser neighbours within \p Limits while they fit.
-  void grow(KeySpan &Piece, const KeySpan &Limits, double Room) const {
-    double Load = m_Loads.of(Piece.m_First, Piece.m_Last);
+  /// Extends \p Range within \p Limits, by the hotter neighbour first, while its
+  /// load stays within \p MaxLoad.
+  void extendRange(KeySpan &Range, const KeySpan &Limits, double MaxLoad) const {
+    double Load = m_Loads.loadOf(Range.m_First, Range.m_Last);
     while (true) {
       const std::uint32_t Before =
-          std::min<std::uint32_t>(StepKeys, Piece.m_First - Limits.m_First);
+          std::min<std::uint32_t>(StepKeys, Range.m_First - Limits.m_First);
       const std::uint32_t After =
-          std::min<std::uint32_t>(StepKeys, Limits.m_Last - Piece.m_Last);
+          std::min<std::uint32_t>(StepKeys, Limits.m_Last - Range.m_Last);
       const double Left =
-          Before ? m_Loads.of(Piece.m_First - Before, Piece.m_First - 1U) : 0;
+          Before ? m_Loads.loadOf(Range.m_First - Before, Range.m_First - 1U) : 0;
       const double Right =
-          After ? m_Loads.of(Piece.m_Last + 1U, Piece.m_Last + After) : 0;
+          After ? m_Loads.loadOf(Range.m_Last + 1U, Range.m_Last + After) : 0;
       const bool TakeRight = After && (Right >= Left || !Before);
-      if ((!Before && !After) || Load + (TakeRight ? Right : Left) > Room)
+      if ((!Before && !After) || Load + (TakeRight ? Right : Left) > MaxLoad)
         return;
       Load += TakeRight ? Right : Left;
       if (TakeRight)
-        Piece.m_Last = static_cast<KeyIndex>(Piece.m_Last + After);
+        Range.m_Last = static_cast<KeyIndex>(Range.m_Last + After);
       else
-        Piece.m_First = static_cast<KeyIndex>(Piece.m_First - Before);
+        Range.m_First = static_cast<KeyIndex>(Range.m_First - Before);
     }
   }
 
-  /// Load for each unit of capacity if all were spread evenly.
-  double fairPart() const {
+  /// Load per unit of capacity if the load were distributed evenly.
+  double fairShare() const {
     double Capacity = 0;
-    for (const Burden &Each : m_Fit)
+    for (const TargetLoad &Each : m_Eligible)
       Capacity += Each.m_Candidate.m_Capacity;
-    return m_Loads.of(0, KeyCount - 1) / std::max(Capacity, 0.05);
+    return m_Loads.loadOf(0, KeyCount - 1) / std::max(Capacity, 0.05);
   }
 
-  /// Last key of the longest run from \p First that weighs at most \p Room;
+  /// Last key of the longest range from \p First whose load is at most \p MaxLoad;
   /// at least one step.
-  std::uint32_t extend(std::uint32_t First, std::uint32_t Limit,
-                       double Room) const {
+  std::uint32_t endOfRange(std::uint32_t First, std::uint32_t Limit,
+                       double MaxLoad) const {
     std::uint32_t Last = std::min(Limit, First + StepKeys - 1);
-    double Load = m_Loads.of(First, Last);
+    double Load = m_Loads.loadOf(First, Last);
     while (Last < Limit) {
       const std::uint32_t Next = std::min(Limit, Last + StepKeys);
-      const double More = m_Loads.of(Last + 1, Next);
-      if (Load + More > Room)
+      const double More = m_Loads.loadOf(Last + 1, Next);
+      if (Load + More > MaxLoad)
         break;
       Load += More;
       Last = Next;
@@ -274,18 +282,18 @@
   KeyMap m_Map;
   LoadIndex m_Loads;
   std::map<KeyOwner, TargetCondition> m_Conditions;
-  std::vector<Burden> m_Fit;
+  std::vector<TargetLoad> m_Eligible;
 };
 
 } // namespace
 
 void KeyPlanner::observe(const KeyMap &Map, TimePoint Now) {
-  std::map<RevocationKey, TimePoint> Seen;
+  std::map<RevocationId, TimePoint> Seen;
   for (const KeySpan &Span : Map.spans()) {
     if (Span.m_State != SpanState::Revoked)
       continue;
-    auto Known = m_RevokedSince.find(keyOf(Span));
-    Seen[keyOf(Span)] = Known == m_RevokedSince.end() ? Now : Known->second;
+    auto Known = m_RevokedSince.find(revocationId(Span));
+    Seen[revocationId(Span)] = Known == m_RevokedSince.end() ? Now : Known->second;
   }
   m_RevokedSince = std::move(Seen);
 }
@@ -293,10 +301,10 @@
 KeyMap KeyPlanner::plan(const KeyMap &Map,
                         const std::vector<KeyCandidate> &Candidates,
                         const SliceLoads &Loads, TimePoint Now) const {
-  Planning Work(Map, Candidates, Loads);
-  std::vector<KeySpan> Spans = Work.map().spans();
+  PlanBuilder Builder(Map, Candidates, Loads);
+  std::vector<KeySpan> Spans = Builder.map().spans();
   for (KeySpan &Span : Spans) {
-    const TargetCondition Owner = Work.condition(Span.m_Owner);
+    const TargetCondition Owner = Builder.condition(Span.m_Owner);
     const bool Held = Span.m_State == SpanState::Owned ||
                       Span.m_State == SpanState::Releasing;
     if (Held && Owner == TargetCondition::Ended)
@@ -304,10 +312,10 @@
     else if (Held && Owner == TargetCondition::Lost)
       Span.m_State = SpanState::Revoked;
     else if (Span.m_State == SpanState::Releasing &&
-             Work.condition(Span.m_Heir) != TargetCondition::Fit)
+             Builder.condition(Span.m_Heir) != TargetCondition::Fit)
       Span.m_State = SpanState::Owned;
     else if (Span.m_State == SpanState::Revoked) {
-      auto Since = m_RevokedSince.find(keyOf(Span));
+      auto Since = m_RevokedSince.find(revocationId(Span));
       if (Owner == TargetCondition::Ended ||
           (Since != m_RevokedSince.end() &&
            Now - Since->second >= m_Options.m_RevocationWait))
@@ -316,30 +324,30 @@
                Owner == TargetCondition::Leaving)
         Span.m_State = SpanState::Owned;
     }
-    Work.map().assign(Span);
+    Builder.map().assign(Span);
   }
-  if (!Work.hasFit())
-    return Work.map();
-  Spans = Work.map().spans();
+  if (!Builder.hasEligible())
+    return Builder.map();
+  Spans = Builder.map().spans();
   for (const KeySpan &Span : Spans)
     if (Span.m_State == SpanState::Free)
-      Work.distribute(Span, [&](KeySpan &Part, const KeyOwner &Receiver) {
+      Builder.distribute(Span, [&](KeySpan &Part, const KeyOwner &Receiver) {
         Part.m_State = SpanState::Owned;
         Part.m_Owner = Receiver;
         Part.m_Heir = {};
-        Part.m_Fence = Work.map().takeFence();
+        Part.m_Fence = Builder.map().issueFence();
         Part.m_Handover.clear();
       });
     else if (Span.m_State == SpanState::Owned &&
-             Work.condition(Span.m_Owner) == TargetCondition::Leaving)
-      Work.distribute(Span, [](KeySpan &Part, const KeyOwner &Receiver) {
+             Builder.condition(Span.m_Owner) == TargetCondition::Leaving)
+      Builder.distribute(Span, [](KeySpan &Part, const KeyOwner &Receiver) {
         Part.m_State = SpanState::Releasing;
         Part.m_Heir = Receiver;
       });
-  if (!Work.moving())
-    Work.relieve(m_Options.m_Tolerance);
-  Work.map().normalize();
-  return Work.map();
+  if (!Builder.hasPendingChanges())
+    Builder.rebalance(m_Options.m_Tolerance);
+  Builder.map().normalize();
+  return Builder.map();
 }
 
 KeyMap adoptEarlierIncarnations(const KeyMap &Map, const KeyOwner &Present) {
@@ -354,7 +362,7 @@
     Span.m_Owner = Present;
     Span.m_Heir = {};
     Span.m_Handover.clear();
-    Span.m_Fence = Result.takeFence();
+    Span.m_Fence = Result.issueFence();
     Result.assign(Span);
   }
   Result.normalize();
@@ -374,7 +382,7 @@
       Span.m_Heir = {};
       Span.m_State = SpanState::Owned;
       Span.m_Handover = Token;
-      Span.m_Fence = Result.takeFence();
+      Span.m_Fence = Result.issueFence();
     } else if (Span.m_State == SpanState::Revoked) {
       Span.m_State = SpanState::Free;
     } else {
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -1,4 +1,4 @@
-// Lookup and checks of a routing configuration.
+// Lookup in a routing configuration, and its validation.
 #include "balsamwheel/detail/routing/route_table.h"
 
 #include <algorithm>
@@ -44,40 +44,40 @@
   if (m_Index.size() != m_Routes.size())
     return "two routes share a host and a prefix";
   for (const Route &Each : m_Routes) {
-    const std::string Where = "route " + Each.m_Name + ": ";
+    const std::string Context = "route " + Each.m_Name + ": ";
     if (Each.m_Host.empty())
-      return Where + "no host";
+      return Context + "no host";
     if (Each.m_Prefix.empty() || Each.m_Prefix.front() != '/' ||
         Each.m_Prefix.back() != '/')
-      return Where + "the prefix must begin and end with a slash";
+      return Context + "the prefix must begin and end with a slash";
     if (Each.m_Timeout <= Duration::zero())
-      return Where + "no timeout";
+      return Context + "no timeout";
     if (Each.m_MaxAttempts == 0)
-      return Where + "no attempts";
+      return Context + "no attempts";
     if (Each.m_Shares.empty())
-      return Where + "no service";
+      return Context + "no service";
     for (const RouteShare &Share : Each.m_Shares) {
       if (Share.m_Weight == 0)
-        return Where + "a share without weight";
+        return Context + "a share without weight";
       if (!service(Share.m_Service))
-        return Where + "unknown service " + Share.m_Service.value();
+        return Context + "unknown service " + Share.m_Service.value();
     }
   }
   return std::nullopt;
 }
 
-const ServiceName &chooseShare(const Route &Of, std::uint64_t Random) {
+const ServiceName &chooseShare(const Route &Chosen, std::uint64_t Random) {
   std::uint64_t Total = 0;
-  for (const RouteShare &Share : Of.m_Shares)
+  for (const RouteShare &Share : Chosen.m_Shares)
     Total += Share.m_Weight;
-  // A sound route has weights; see RouteTable::problem().
+  // A valid route has positive weights; see RouteTable::problem().
   std::uint64_t Point = Total > 0 ? Random % Total : 0;
-  for (const RouteShare &Share : Of.m_Shares) {
+  for (const RouteShare &Share : Chosen.m_Shares) {
     if (Point < Share.m_Weight)
       return Share.m_Service;
     Point -= Share.m_Weight;
   }
-  return Of.m_Shares.back().m_Service;
+  return Chosen.m_Shares.back().m_Service;
 }
 
 } // namespace balsamwheel
--- a/tests/unit-hold-ledger.cpp
+++ b/tests/unit-hold-ledger.cpp
@@ -21,7 +21,7 @@
               .m_State = State,
               .m_Owner = Owner,
               .m_Heir = Other,
-              .m_Fence = Map.takeFence()});
+              .m_Fence = Map.issueFence()});
   return Map;
 }
 
--- a/tests/unit-key-map.cpp
+++ b/tests/unit-key-map.cpp
@@ -62,10 +62,10 @@
 
 TEST_CASE("fencing tokens only grow, also over the encoding") {
   KeyMap Map;
-  const Epoch First = Map.takeFence();
+  const Epoch First = Map.issueFence();
   auto Read = KeyMap::fromText(Map.toText());
   REQUIRE(Read.has_value());
-  CHECK(Read->takeFence() > First);
+  CHECK(Read->issueFence() > First);
 }
 
 TEST_CASE("rows that are no sound map are rejected") {
