--- a/tests/unit-admission.cpp
+++ b/tests/unit-admission.cpp
@@ -1,4 +1,4 @@
-// The gate in front of a target: limits, classes, queues, refusals.
+// Tests of admission control: limits, classes, queues, refusals.
 #include "balsamwheel/coordination.h"
 
 #include <doctest/doctest.h>
@@ -13,12 +13,12 @@
 
 namespace {
 
-struct Known {
+struct WaitingRequest {
   Urgency m_Class = Urgency::Bulk;
   TimePoint m_Deadline;
 };
 
-/// Random operations on a gate beside plain books of what must be where.
+/// Applies random operations to a gate and to a simple reference model.
 class GateModel {
 public:
   explicit GateModel(AdmissionOptions Options)
@@ -35,14 +35,14 @@
       withdraw();
     else
       m_Gate.targetRestarted(m_Now);
-    drain();
+    startWaiting();
     check();
   }
 
 private:
   void offer() {
-    const RequestHandle Handle(m_Next++);
-    const Known Request{static_cast<Urgency>(*rc::gen::inRange(0, 3)),
+    const RequestHandle Handle(m_NextHandle++);
+    const WaitingRequest Request{static_cast<Urgency>(*rc::gen::inRange(0, 3)),
                         m_Now + Duration(*rc::gen::inRange(0, 500'000))};
     const std::uint32_t Before = m_Gate.running();
     const AdmissionDecision Decision =
@@ -60,19 +60,19 @@
   void finish() {
     if (m_Running.empty())
       return;
-    const auto Which = m_Running.begin() +
+    const auto Ended = m_Running.begin() +
                        *rc::gen::inRange<std::ptrdiff_t>(
                            0, static_cast<std::ptrdiff_t>(m_Running.size()));
-    const int How = *rc::gen::inRange(0, 8);
-    if (How == 0)
-      m_Gate.released(*Which);
+    const int Result = *rc::gen::inRange(0, 8);
+    if (Result == 0)
+      m_Gate.released(*Ended);
     else
-      m_Gate.finished(*Which,
+      m_Gate.finished(*Ended,
                       {.m_Latency = Duration(*rc::gen::inRange(1, 50'000)),
-                       .m_Failed = How == 1,
-                       .m_Shed = How == 2},
+                       .m_Failed = Result == 1,
+                       .m_Shed = Result == 2},
                       m_Now);
-    m_Running.erase(Which);
+    m_Running.erase(Ended);
   }
 
   void withdraw() {
@@ -84,7 +84,7 @@
     m_Waiting.erase(Handle);
   }
 
-  void drain() {
+  void startWaiting() {
     while (true) {
       const std::uint32_t Before = m_Gate.running();
       const auto Handle = m_Gate.next(m_Now);
@@ -102,8 +102,8 @@
       RC_ASSERT(m_Waiting.erase(Handle) == 1);
   }
 
-  // Of its class, the one that is due first was started.
-  void checkOrder(const Known &Started) {
+  // Checks that the started request has the earliest deadline of its class.
+  void checkOrder(const WaitingRequest &Started) {
     RC_ASSERT(Started.m_Deadline > m_Now);
     for (const RequestHandle Handle : m_Gate.expire(m_Now))
       RC_ASSERT(m_Waiting.erase(Handle) == 1);
@@ -125,13 +125,13 @@
   AdmissionOptions m_Options;
   TimePoint m_Now{1s};
   AdmissionGate m_Gate;
-  std::map<RequestHandle, Known> m_Waiting;
+  std::map<RequestHandle, WaitingRequest> m_Waiting;
   std::vector<Urgency> m_Running;
-  std::vector<Known> m_Started;
-  std::uint64_t m_Next = 1;
+  std::vector<WaitingRequest> m_Started;
+  std::uint64_t m_NextHandle = 1;
 };
 
-/// Offers until the gate refuses or queues; returns how many run.
+/// Offers requests until one is refused or queued; returns how many run.
 std::uint32_t fill(AdmissionGate &Gate, Urgency Class, TimePoint Now,
                    std::uint64_t FirstHandle) {
   std::uint32_t Count = 0;
@@ -141,7 +141,7 @@
   return Count;
 }
 
-/// Runs a gate at its limit with constant latency for a while.
+/// Runs a gate at its limit, with constant latency, for the given length.
 void keepBusy(AdmissionGate &Gate, Duration Latency, Duration Length,
               TimePoint &Now) {
   const TimePoint End = Now + Length;
@@ -163,8 +163,8 @@
 
 } // namespace
 
-TEST_CASE("any sequence keeps the limits and loses no request") {
-  CHECK(rc::check("gate against its books", [] {
+TEST_CASE("no sequence of operations exceeds a limit or loses a request") {
+  CHECK(rc::check("gate against its model", [] {
     GateModel Model({.m_Slots = *rc::gen::inRange(0U, 12U),
                      .m_QueueLimit = *rc::gen::inRange(0U, 20U),
                      .m_ReservedUrgent = *rc::gen::inRange(0U, 3U),
@@ -178,8 +178,8 @@
   }));
 }
 
-TEST_CASE("bulk leaves the reserved slots to the others") {
-  CHECK(rc::check("slots left under a flood of bulk", [] {
+TEST_CASE("bulk requests do not use the slots reserved for other classes") {
+  CHECK(rc::check("slots left under many bulk requests", [] {
     AdmissionOptions Options;
     Options.m_Slots = *rc::gen::inRange(2U, 20U);
     Options.m_ReservedUrgent = *rc::gen::inRange(1U, Options.m_Slots);
@@ -199,7 +199,7 @@
   }));
 }
 
-TEST_CASE("an urgent request starts before bulk that waited longer") {
+TEST_CASE("an urgent request starts before a bulk one that waited longer") {
   const TimePoint Now{1s};
   AdmissionGate Gate({.m_Slots = 1, .m_Adaptive = false}, Now);
   REQUIRE(fill(Gate, Urgency::Bulk, Now, 1) == 1);
@@ -208,7 +208,7 @@
   CHECK(Gate.next(Now) == RequestHandle(10));
 }
 
-TEST_CASE("the limit starts cold, rises while healthy, and knows a restart") {
+TEST_CASE("the limit rises from the cold limit and falls back on a restart") {
   TimePoint Now{1s};
   AdmissionGate Gate({.m_ColdSlots = 2, .m_ColdRamp = 4s}, Now);
   CHECK(Gate.limit() == 2);
@@ -218,15 +218,15 @@
   keepBusy(Gate, 10ms, 4s, Now);
   CHECK(Gate.limit() == 10);
 
-  SUBCASE("said by the target") { Gate.targetRestarted(Now); }
-  SUBCASE("seen by errors in a row") {
+  SUBCASE("restart reported by the target") { Gate.targetRestarted(Now); }
+  SUBCASE("restart detected by consecutive errors") {
     fill(Gate, Urgency::Interactive, Now, 1);
     Now += 1ms;
     for (int Error = 0; Error < 3; ++Error)
       Gate.finished(Urgency::Interactive, {.m_Latency = 1us, .m_Failed = true},
                     Now);
   }
-  SUBCASE("seen by sheds in a row") {
+  SUBCASE("restart detected by consecutive sheds") {
     for (int Shed = 0; Shed < 3; ++Shed) {
       fill(Gate, Urgency::Interactive, Now, 1);
       Now += 5ms;
@@ -234,11 +234,13 @@
                     Now);
     }
   }
-  SUBCASE("seen by a jump of the latency") { keepBusy(Gate, 60ms, 150ms, Now); }
+  SUBCASE("restart detected by a jump of the latency") {
+    keepBusy(Gate, 60ms, 150ms, Now);
+  }
   CHECK(Gate.limit() == 2);
 }
 
-TEST_CASE("an idle limit does not rise") {
+TEST_CASE("the limit does not rise while it is not fully used") {
   TimePoint Now{1s};
   AdmissionGate Gate({.m_ColdSlots = 2, .m_ColdRamp = 1s}, Now);
   for (std::uint64_t Handle = 1; Handle < 500; ++Handle) {
@@ -249,7 +251,7 @@
   CHECK(Gate.limit() == 2);
 }
 
-TEST_CASE("orders that started before a decrease cause no further one") {
+TEST_CASE("requests that started before a decrease cause no further one") {
   TimePoint Now{1s};
   AdmissionGate Gate({.m_ColdRamp = 1s}, Now);
   keepBusy(Gate, 10ms, 4s, Now);
@@ -262,7 +264,7 @@
   CHECK(Gate.limit() == 7);
 }
 
-TEST_CASE("after errors in a row orders wait instead of failing") {
+TEST_CASE("after consecutive errors requests wait instead of failing") {
   TimePoint Now{1s};
   AdmissionGate Gate({.m_ColdRamp = 1s}, Now);
   keepBusy(Gate, 10ms, 3s, Now);
@@ -282,10 +284,10 @@
   CHECK(Gate.next(Gate.nextWake()) == RequestHandle(900));
 }
 
-TEST_CASE("a refused request is taken after the time it was told") {
-  CHECK(rc::check("retry-after is long enough when nobody else comes", [] {
+TEST_CASE("a refused request is admitted after its retry-after time") {
+  CHECK(rc::check("retry-after is sufficient without further requests", [] {
     const Duration Latency = Duration(*rc::gen::inRange(1'000, 50'000));
-    const Duration Patience = Duration(*rc::gen::inRange(60'000, 200'000));
+    const Duration TimeToDeadline = Duration(*rc::gen::inRange(60'000, 200'000));
     TimePoint Now{1s};
     AdmissionGate Gate({.m_Slots = 4, .m_Adaptive = false}, Now);
     keepBusy(Gate, Latency, Latency * 40, Now);
@@ -295,14 +297,14 @@
          Decision.m_Verdict != AdmissionVerdict::Refused || Handle == 1;
          ++Handle) {
       Decision = Gate.offer(RequestHandle(Handle), Urgency::Interactive,
-                            Now + Patience, Now);
+                            Now + TimeToDeadline, Now);
       if (Decision.m_Verdict == AdmissionVerdict::Run)
         Ends.push_back(Now + Latency);
     }
-    const TimePoint Again = Now + Decision.m_RetryAfter;
+    const TimePoint RetryTime = Now + Decision.m_RetryAfter;
     while (true) {
       const auto First = std::ranges::min_element(Ends);
-      if (First == Ends.end() || *First > Again)
+      if (First == Ends.end() || *First > RetryTime)
         break;
       Now = *First;
       Ends.erase(First);
@@ -312,7 +314,7 @@
       Gate.expire(Now);
     }
     RC_ASSERT(Gate.offer(RequestHandle(1'000), Urgency::Interactive,
-                         Again + Patience, Again)
+                         RetryTime + TimeToDeadline, RetryTime)
                   .m_Verdict != AdmissionVerdict::Refused);
   }));
 }
--- a/tests/unit-hold-ledger.cpp
+++ b/tests/unit-hold-ledger.cpp
@@ -1,4 +1,4 @@
-// Grants to one target, and when keys count as given back.
+// Tests of the grants to one target, and of when keys count as released.
 #include "balsamwheel/detail/keyspace/hold_ledger.h"
 
 #include <doctest/doctest.h>
@@ -27,19 +27,19 @@
 
 } // namespace
 
-TEST_CASE("only keys that the map gives to this incarnation are granted") {
+TEST_CASE("only keys that the map assigns to this incarnation are granted") {
   HoldLedger Ledger({}, Self);
   CHECK(Ledger.grant(ownedBy(Self), Start).size() == 1);
   CHECK(Ledger.grant(ownedBy(Other), Start).empty());
   CHECK(Ledger.grant(ownedBy(Self, SpanState::Releasing), Start).empty());
   CHECK(Ledger.grant(ownedBy(Self, SpanState::Revoked), Start).empty());
-  KeyOwner Reborn = Self;
-  Reborn.m_Target.m_BornMs = 2;
-  CHECK(HoldLedger({}, Reborn).grant(ownedBy(Self), Start).empty());
+  KeyOwner Restarted = Self;
+  Restarted.m_Target.m_BornMs = 2;
+  CHECK(HoldLedger({}, Restarted).grant(ownedBy(Self), Start).empty());
 }
 
-TEST_CASE("requests end before a hold on a fast clock, takers wait for a slow "
-          "one") {
+TEST_CASE("a hold ends early for requests and late for other owners, to allow "
+          "for fast and slow clocks") {
   HoldLedger Ledger({.m_Hold = 10s, .m_SlowClockFactor = 1.02, .m_Margin = 1ms},
                     Self);
   Ledger.grant(ownedBy(Self), Start);
@@ -65,7 +65,7 @@
   CHECK(Done[0].m_Handover == "token");
 }
 
-TEST_CASE("a span that the target still works on isn't given back") {
+TEST_CASE("a span that the target still reports as held is not released") {
   HoldLedger Ledger({}, Self);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
   Ledger.grant(Moving, Start);
@@ -78,8 +78,8 @@
   CHECK(Ledger.completions(Moving).size() == 1);
 }
 
-TEST_CASE("after a daemon's restart a span counts as given back only after "
-          "two heartbeats without it") {
+TEST_CASE("after a daemon restart a span counts as released only after two "
+          "heartbeats without it") {
   HoldLedger Ledger({}, Self);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
   Ledger.report({});
@@ -90,7 +90,7 @@
   CHECK(Done[0].m_Handover.empty());
 }
 
-TEST_CASE("a revocation is waited out for the last grant on a slow clock") {
+TEST_CASE("the revocation wait covers the last grant on a slow clock") {
   const HoldOptions Holds{
       .m_Hold = 7s, .m_SlowClockFactor = 1.02, .m_Margin = 300ms};
   HoldLedger Ledger(Holds, Self);
--- a/tests/unit-key-map.cpp
+++ b/tests/unit-key-map.cpp
@@ -1,5 +1,5 @@
-// Key spans: every key has one span whatever is assigned, and the row encoding
-// loses nothing.
+// Tests of the key map: after any assignments each key is in exactly one span,
+// and the row encoding is lossless.
 #include "balsamwheel/detail/keyspace/key_map.h"
 
 #include <doctest/doctest.h>
@@ -18,18 +18,18 @@
 
 } // namespace
 
-TEST_CASE("a new map holds all keys, free") {
+TEST_CASE("all keys of a new map are free") {
   const KeyMap Map;
   CHECK(Map.spans().size() == 1);
   CHECK(Map.find(0).m_State == SpanState::Free);
   CHECK(Map.find(65535).m_Last == 65535);
 }
 
-TEST_CASE("assignments behave like one owner for each key") {
+TEST_CASE("assignments of spans are equivalent to assignments of single keys") {
   rc::check([] {
     KeyMap Map;
-    // Owners of 64 blocks of keys, as plain books.
-    std::array<int, 64> Books{};
+    // Reference model: the owner of each of 64 blocks of keys.
+    std::array<int, 64> Expected{};
     const auto Steps = *rc::gen::inRange(1, 30);
     for (int Step = 0; Step < Steps; ++Step) {
       const auto First = *rc::gen::inRange(0, 64);
@@ -41,7 +41,7 @@
                   .m_Owner = owner(Owner)});
       if (*rc::gen::arbitrary<bool>())
         Map.normalize();
-      std::fill(Books.begin() + First, Books.begin() + Last + 1, Owner);
+      std::fill(Expected.begin() + First, Expected.begin() + Last + 1, Owner);
     }
     std::uint32_t Next = 0;
     for (const KeySpan &Span : Map.spans()) {
@@ -49,18 +49,18 @@
       Next = std::uint32_t{Span.m_Last} + 1;
     }
     RC_ASSERT(Next == KeyCount);
-    for (std::size_t Block = 0; Block < Books.size(); ++Block) {
+    for (std::size_t Block = 0; Block < Expected.size(); ++Block) {
       const KeySpan &Span = Map.find(static_cast<KeyIndex>(Block * 1024 + 7));
-      if (Books[Block] == 0)
+      if (Expected[Block] == 0)
         RC_ASSERT(Span.m_State == SpanState::Free);
       else
-        RC_ASSERT(Span.m_Owner == owner(Books[Block]));
+        RC_ASSERT(Span.m_Owner == owner(Expected[Block]));
     }
     RC_ASSERT(KeyMap::fromText(Map.toText()) == Map);
   });
 }
 
-TEST_CASE("fencing tokens only grow, also over the encoding") {
+TEST_CASE("fencing tokens increase, also after encoding and decoding") {
   KeyMap Map;
   const Epoch First = Map.issueFence();
   auto Read = KeyMap::fromText(Map.toText());
@@ -68,7 +68,7 @@
   CHECK(Read->issueFence() > First);
 }
 
-TEST_CASE("rows that are no sound map are rejected") {
+TEST_CASE("rows that are not a valid map are rejected") {
   CHECK_FALSE(KeyMap::fromText("").has_value());
   CHECK_FALSE(KeyMap::fromText("{}").has_value());
   CHECK_FALSE(KeyMap::fromText(R"({"last_fence":1,"spans":[]})").has_value());
--- a/tests/unit-key-planner.cpp
+++ b/tests/unit-key-planner.cpp
@@ -1,4 +1,5 @@
-// How keys change hands: first assignment, losses, planned moves, hot keys.
+// Tests of the key planner: initial assignment, lost owners, planned moves, hot
+// keys.
 #include "balsamwheel/detail/keyspace/key_planner.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +22,7 @@
                        .m_BornMs = Born}};
 }
 
-std::vector<KeyCandidate> fit(int Count) {
+std::vector<KeyCandidate> eligible(int Count) {
   std::vector<KeyCandidate> Result;
   for (int Index = 0; Index < Count; ++Index)
     Result.push_back({.m_Owner = owner(Index)});
@@ -65,15 +66,15 @@
       return Map;
     Map = Next;
   }
-  FAIL("the plan doesn't settle");
+  FAIL("the plan does not converge");
   return Map;
 }
 
 } // namespace
 
-TEST_CASE("free keys are spread evenly over fit targets") {
+TEST_CASE("free keys are distributed evenly over eligible targets") {
   const KeyPlanner Planner({});
-  const KeyMap Map = Planner.plan(KeyMap(), fit(6), NoLoad, Start);
+  const KeyMap Map = Planner.plan(KeyMap(), eligible(6), NoLoad, Start);
   for (int Index = 0; Index < 6; ++Index)
     CHECK(keysOf(Map, owner(Index)) ==
           doctest::Approx(KeyCount / 6.0).epsilon(0.15));
@@ -81,49 +82,49 @@
 
 TEST_CASE("nothing moves under steady load") {
   const KeyPlanner Planner({});
-  const KeyMap Map = settle(Planner, KeyMap(), fit(6), NoLoad);
-  CHECK(Planner.plan(Map, fit(6), NoLoad, Start) == Map);
+  const KeyMap Map = settle(Planner, KeyMap(), eligible(6), NoLoad);
+  CHECK(Planner.plan(Map, eligible(6), NoLoad, Start) == Map);
 }
 
-TEST_CASE("no key changes hands before the revocation wait is over") {
+TEST_CASE("no key changes its owner before the revocation wait is over") {
   KeyPlanner Planner({.m_RevocationWait = 9s});
-  KeyMap Map = settle(Planner, KeyMap(), fit(3), NoLoad);
-  std::vector<KeyCandidate> Lost = fit(3);
+  KeyMap Map = settle(Planner, KeyMap(), eligible(3), NoLoad);
+  std::vector<KeyCandidate> Lost = eligible(3);
   Lost[1].m_Condition = TargetCondition::Lost;
   const KeyMap Revoked = Planner.plan(Map, Lost, NoLoad, Start);
   Planner.observe(Revoked, Start);
-  const KeyMap Early = Planner.plan(Revoked, Lost, NoLoad, Start + 8s);
-  CHECK(Early == Revoked);
-  const KeyMap Late = Planner.plan(Revoked, Lost, NoLoad, Start + 9s);
-  CHECK(keysOf(Late, owner(0)) + keysOf(Late, owner(2)) == KeyCount);
+  const KeyMap DuringWait = Planner.plan(Revoked, Lost, NoLoad, Start + 8s);
+  CHECK(DuringWait == Revoked);
+  const KeyMap AfterWait = Planner.plan(Revoked, Lost, NoLoad, Start + 9s);
+  CHECK(keysOf(AfterWait, owner(0)) + keysOf(AfterWait, owner(2)) == KeyCount);
 }
 
-TEST_CASE("a planner that has just begun waits the revocation out anew") {
-  KeyPlanner Fresh({.m_RevocationWait = 9s});
+TEST_CASE("a new planner waits the full revocation wait again") {
+  KeyPlanner NewPlanner({.m_RevocationWait = 9s});
   KeyMap Map;
   Map.assign({.m_First = 0,
               .m_Last = 65535,
               .m_State = SpanState::Revoked,
               .m_Owner = owner(9)});
-  CHECK(Fresh.plan(Map, fit(2), NoLoad, Start + 100s) == Map);
-  Fresh.observe(Map, Start + 100s);
-  CHECK(Fresh.plan(Map, fit(2), NoLoad, Start + 108s) == Map);
-  CHECK(Fresh.plan(Map, fit(2), NoLoad, Start + 109s) != Map);
+  CHECK(NewPlanner.plan(Map, eligible(2), NoLoad, Start + 100s) == Map);
+  NewPlanner.observe(Map, Start + 100s);
+  CHECK(NewPlanner.plan(Map, eligible(2), NoLoad, Start + 108s) == Map);
+  CHECK(NewPlanner.plan(Map, eligible(2), NoLoad, Start + 109s) != Map);
 }
 
-TEST_CASE("a revoked owner that is in reach again keeps keys and fence") {
+TEST_CASE("a revoked owner that is reachable again keeps its keys and fence") {
   KeyPlanner Planner({});
-  const KeyMap Map = settle(Planner, KeyMap(), fit(3), NoLoad);
-  std::vector<KeyCandidate> Lost = fit(3);
+  const KeyMap Map = settle(Planner, KeyMap(), eligible(3), NoLoad);
+  std::vector<KeyCandidate> Lost = eligible(3);
   Lost[1].m_Condition = TargetCondition::Lost;
   const KeyMap Revoked = Planner.plan(Map, Lost, NoLoad, Start);
-  CHECK(Planner.plan(Revoked, fit(3), NoLoad, Start) == Map);
+  CHECK(Planner.plan(Revoked, eligible(3), NoLoad, Start) == Map);
 }
 
-TEST_CASE("a leaving target's keys go to heirs with its token") {
+TEST_CASE("the keys of a leaving target go to next owners with its token") {
   const KeyPlanner Planner({});
-  const KeyMap Map = settle(Planner, KeyMap(), fit(3), NoLoad);
-  std::vector<KeyCandidate> Leaving = fit(3);
+  const KeyMap Map = settle(Planner, KeyMap(), eligible(3), NoLoad);
+  std::vector<KeyCandidate> Leaving = eligible(3);
   Leaving[0].m_Condition = TargetCondition::Leaving;
   const KeyMap Planned = Planner.plan(Map, Leaving, NoLoad, Start);
   for (const KeySpan &Span : Planned.spans())
@@ -138,9 +139,9 @@
     }
 }
 
-TEST_CASE("a target that started again takes its keys over with new fences") {
+TEST_CASE("a restarted target takes over its keys with new fences") {
   const KeyPlanner Planner({});
-  const KeyMap Map = settle(Planner, KeyMap(), fit(3), NoLoad);
+  const KeyMap Map = settle(Planner, KeyMap(), eligible(3), NoLoad);
   const KeyMap Next = adoptEarlierIncarnations(Map, owner(1, 5));
   CHECK(keysOf(Next, owner(1)) == 0);
   CHECK(keysOf(Next, owner(1, 5)) == keysOf(Map, owner(1)));
@@ -150,21 +151,21 @@
   CHECK(adoptEarlierIncarnations(Next, owner(1, 3)) == Next);
 }
 
-TEST_CASE("a hot stretch of keys is split, and little else moves") {
+TEST_CASE("a hot range of keys is split, and few other keys move") {
   const KeyPlanner Planner({});
-  const KeyMap Map = settle(Planner, KeyMap(), fit(6), NoLoad);
+  const KeyMap Map = settle(Planner, KeyMap(), eligible(6), NoLoad);
   SliceLoads Loads{};
   Loads.fill(0.05F);
   for (std::size_t Slice = 80; Slice < 96; ++Slice)
     Loads[Slice] = 3;
-  const KeyMap Split = settle(Planner, Map, fit(6), Loads);
-  double Most = 0;
+  const KeyMap Split = settle(Planner, Map, eligible(6), Loads);
+  double MaxLoad = 0;
   double Total = 0;
   for (int Index = 0; Index < 6; ++Index) {
-    Most = std::max(Most, loadOf(Split, owner(Index), Loads));
+    MaxLoad = std::max(MaxLoad, loadOf(Split, owner(Index), Loads));
     Total += loadOf(Split, owner(Index), Loads);
   }
-  CHECK(Most <= 1.45 * Total / 6);
+  CHECK(MaxLoad <= 1.45 * Total / 6);
   std::uint32_t Moved = 0;
   for (std::uint32_t Key = 0; Key < KeyCount; ++Key)
     if (Split.find(static_cast<KeyIndex>(Key)).m_Owner !=
@@ -173,34 +174,36 @@
   CHECK(Moved <= KeyCount / 20);
 }
 
-TEST_CASE("a key hotter than a target doesn't stop the other moves") {
-  // One key gets nearly half of all requests, others a steep head as well.
+TEST_CASE("a key with more load than a target can serve does not block other "
+          "moves") {
+  // One key gets nearly half of all requests; the load of the others is skewed
+  // as well.
   const KeyPlanner Planner({});
   constexpr int Targets = 12;
-  const KeyMap Map = settle(Planner, KeyMap(), fit(Targets), NoLoad);
+  const KeyMap Map = settle(Planner, KeyMap(), eligible(Targets), NoLoad);
   SliceLoads Loads{};
   Loads.fill(0.02F);
   for (std::size_t Slice = 0; Slice < 24; ++Slice)
     Loads[Slice] = 30.0F / static_cast<float>(Slice + 3);
   SliceLoads Hot = Loads;
   Hot[400] = 100;
-  const KeyMap Planned = settle(Planner, Map, fit(Targets), Hot);
-  double Most = 0;
+  const KeyMap Planned = settle(Planner, Map, eligible(Targets), Hot);
+  double MaxLoad = 0;
   double Total = 0;
   for (int Index = 0; Index < Targets; ++Index) {
-    Most = std::max(Most, loadOf(Planned, owner(Index), Loads));
+    MaxLoad = std::max(MaxLoad, loadOf(Planned, owner(Index), Loads));
     Total += loadOf(Planned, owner(Index), Loads);
   }
-  CHECK(Most <= 1.45 * Total / Targets);
-  const KeyOwner &Busy = Planned.find(400 * KeysPerSlice).m_Owner;
-  CHECK(loadOf(Planned, Busy, Loads) <= 0.5 * Total / Targets);
+  CHECK(MaxLoad <= 1.45 * Total / Targets);
+  const KeyOwner &HotOwner = Planned.find(400 * KeysPerSlice).m_Owner;
+  CHECK(loadOf(Planned, HotOwner, Loads) <= 0.5 * Total / Targets);
 }
 
-TEST_CASE("plans settle for any load and any mix of conditions") {
+TEST_CASE("plans converge for any load and any mix of target conditions") {
   rc::check([] {
     const KeyPlanner Planner({});
     const auto Count = *rc::gen::inRange(1, 8);
-    std::vector<KeyCandidate> Candidates = fit(Count);
+    std::vector<KeyCandidate> Candidates = eligible(Count);
     SliceLoads Loads{};
     for (float &Load : Loads)
       if (*rc::gen::inRange(0, 16) == 0)
--- a/tests/unit-link-budget.cpp
+++ b/tests/unit-link-budget.cpp
@@ -1,4 +1,4 @@
-// The link's time for large answers.
+// Tests of the link budget for large answers.
 #include "balsamwheel/detail/load/link_budget.h"
 
 #include <doctest/doctest.h>
@@ -21,19 +21,20 @@
 
 } // namespace
 
-TEST_CASE("answers beyond what the link carries in time are refused") {
+TEST_CASE("answers that the link can't carry in time are refused") {
   LinkBudget Budget = budget(90000);
   int Admitted = 0;
   for (int Count = 0; Count < 50; ++Count)
     Admitted += Budget.reserve(1s, Start) ? 1 : 0;
-  // 85 ms each, 700 ms at most.
+  // Each transfer takes 85 ms; the wait may be 700 ms.
   CHECK(Admitted == 8);
 }
 
-TEST_CASE("a minute of overload: the link is used, and no answer is late") {
+TEST_CASE("in a minute of overload the link is fully used and no answer is "
+          "late") {
   LinkBudget Budget = budget(90000);
   int Admitted = 0;
-  // 20 a second come; the link's share carries 11.8.
+  // 20 answers per second are requested; the share of the link carries 11.8.
   for (TimePoint Now = Start; Now < Start + 60s; Now += 50ms) {
     Admitted += Budget.reserve(1s, Now) ? 1 : 0;
     CHECK(Budget.wait(Now) <= 700ms);
--- a/tests/unit-request-gate.cpp
+++ b/tests/unit-request-gate.cpp
@@ -1,4 +1,5 @@
-// The gate of one target: order, refusals, cold limits, and overload replays.
+// Tests of the request gate: order, refusals, rate limit of cold targets, and
+// simulations of overload.
 #include "balsamwheel/detail/load/request_gate.h"
 
 #include <doctest/doctest.h>
@@ -26,8 +27,8 @@
           .m_Deadline = Now + 3 * Objective};
 }
 
-/// A gate that has seen service times.
-RequestGate warmGate(std::uint32_t Slots, Duration Service) {
+/// Returns an open gate that has learned the service time.
+RequestGate gateWithService(std::uint32_t Slots, Duration Service) {
   RequestGate Gate({});
   Gate.open(Slots);
   for (int Count = 0; Count < 50; ++Count) {
@@ -37,93 +38,93 @@
   return Gate;
 }
 
-struct ReplayResult {
-  int m_Timely = 0;
+struct SimulationResult {
+  int m_OnTime = 0;
   int m_Late = 0;
   int m_Refused = 0;
   int m_Expired = 0;
-  Duration m_LongestRefusal{0};
+  Duration m_LongestExpiredWait{0};
 };
 
-/// Arrivals besides the requests that are counted.
-struct ReplayExtras {
-  /// Calls of requests that run elsewhere, each second.
-  double m_CallsPerSecond = 0;
-  Duration m_CallService = 40ms;
-  /// Part of the requests that fail after a longer time.
-  double m_FailingPart = 0;
+/// Additional load besides the requests that are counted.
+struct ExtraLoad {
+  /// Arrivals per second of nested requests, whose parents run elsewhere.
+  double m_NestedPerSecond = 0;
+  Duration m_NestedService = 40ms;
+  /// Fraction of the requests that fail.
+  double m_FailingShare = 0;
   Duration m_FailingService{0};
 };
 
-/// Replays open arrivals against a target with noisy service times. The gate
-/// decides, the replay is the target.
-ReplayResult replay(double ArrivalsPerSecond, double Seconds, Duration Service,
+/// Simulates open-loop arrivals at a gate whose target has random service
+/// times.
+SimulationResult simulate(double ArrivalsPerSecond, double Seconds, Duration Service,
                     std::uint32_t Slots, Duration Objective,
-                    const ReplayExtras &Extras = {}) {
-  RequestGate Gate = warmGate(Slots, Service);
+                    const ExtraLoad &Extras = {}) {
+  RequestGate Gate = gateWithService(Slots, Service);
   pcg32 Random(7);
   std::exponential_distribution<double> Gap(ArrivalsPerSecond);
-  std::uniform_real_distribution<double> Spread(0.6, 1.4);
+  std::uniform_real_distribution<double> Noise(0.6, 1.4);
   std::map<std::uint64_t, TimePoint> Arrived;
   std::multimap<TimePoint, std::pair<std::uint64_t, Duration>> Running;
-  std::set<std::uint64_t> Calls;
+  std::set<std::uint64_t> Nested;
   std::set<std::uint64_t> Failing;
-  std::exponential_distribution<double> CallGap(
-      std::max(Extras.m_CallsPerSecond, 1e-9));
-  std::uniform_real_distribution<double> Part(0, 1);
-  ReplayResult Result;
+  std::exponential_distribution<double> NestedGap(
+      std::max(Extras.m_NestedPerSecond, 1e-9));
+  std::uniform_real_distribution<double> Uniform(0, 1);
+  SimulationResult Result;
   TimePoint Now = Start;
   const auto Send = [&](std::uint64_t Handle) {
-    const Duration Mean = Calls.contains(Handle)     ? Extras.m_CallService
+    const Duration Mean = Nested.contains(Handle)     ? Extras.m_NestedService
                           : Failing.contains(Handle) ? Extras.m_FailingService
                                                      : Service;
-    const auto Took =
-        std::chrono::duration_cast<Duration>(Mean * Spread(Random));
-    Running.emplace(Now + Took, std::pair(Handle, Took));
+    const auto ServiceTime =
+        std::chrono::duration_cast<Duration>(Mean * Noise(Random));
+    Running.emplace(Now + ServiceTime, std::pair(Handle, ServiceTime));
   };
-  const auto Pump = [&] {
+  const auto DrainQueue = [&] {
     for (RequestHandle Each : Gate.expire(Now)) {
       ++Result.m_Expired;
-      Result.m_LongestRefusal =
-          std::max(Result.m_LongestRefusal, Now - Arrived.at(Each.value()));
+      Result.m_LongestExpiredWait =
+          std::max(Result.m_LongestExpiredWait, Now - Arrived.at(Each.value()));
     }
     while (auto Next = Gate.next(Now))
       Send(Next->value());
   };
   std::uint64_t Handle = 0;
-  const auto After = [&](std::exponential_distribution<double> &Law) {
+  const auto After = [&](std::exponential_distribution<double> &Distribution) {
     return Now + std::chrono::duration_cast<Duration>(
-                     std::chrono::duration<double>(std::min(Law(Random), 1e6)));
+                     std::chrono::duration<double>(std::min(Distribution(Random), 1e6)));
   };
   TimePoint NextArrival = Start;
-  TimePoint NextCall = After(CallGap);
+  TimePoint NextNested = After(NestedGap);
   const TimePoint End = Start + std::chrono::duration_cast<Duration>(
                                     std::chrono::duration<double>(Seconds));
   while (NextArrival < End || !Running.empty()) {
     if (!Running.empty() &&
         (NextArrival >= End || Running.begin()->first <= NextArrival)) {
       Now = Running.begin()->first;
-      const auto [Ended, Took] = Running.begin()->second;
+      const auto [Ended, ServiceTime] = Running.begin()->second;
       Running.erase(Running.begin());
-      const bool Call = Calls.contains(Ended);
+      const bool IsNested = Nested.contains(Ended);
       const bool Fails = Failing.contains(Ended);
-      Gate.finished(Call ? "call" : "r", Took, !Fails);
-      if (!Call && !Fails)
-        ++(Now <= Arrived.at(Ended) + Objective ? Result.m_Timely
+      Gate.finished(IsNested ? "call" : "r", ServiceTime, !Fails);
+      if (!IsNested && !Fails)
+        ++(Now <= Arrived.at(Ended) + Objective ? Result.m_OnTime
                                                 : Result.m_Late);
-      Pump();
+      DrainQueue();
       continue;
     }
-    const bool Call = NextCall < NextArrival;
-    Now = Call ? NextCall : NextArrival;
-    (Call ? NextCall : NextArrival) = After(Call ? CallGap : Gap);
+    const bool IsNested = NextNested < NextArrival;
+    Now = IsNested ? NextNested : NextArrival;
+    (IsNested ? NextNested : NextArrival) = After(IsNested ? NestedGap : Gap);
     GateRequest Next = request(++Handle, Objective, 1, Now);
     Arrived[Handle] = Now;
-    if (Call) {
-      Calls.insert(Handle);
+    if (IsNested) {
+      Nested.insert(Handle);
       Next.m_Route = "call";
       Next.m_Nested = true;
-    } else if (Part(Random) < Extras.m_FailingPart) {
+    } else if (Uniform(Random) < Extras.m_FailingShare) {
       Failing.insert(Handle);
     }
     switch (Gate.offer(Next, Now).m_Verdict) {
@@ -131,7 +132,7 @@
       Send(Handle);
       break;
     case GateVerdict::Wait:
-      Pump();
+      DrainQueue();
       break;
     case GateVerdict::Refuse:
       ++Result.m_Refused;
@@ -143,8 +144,8 @@
 
 } // namespace
 
-TEST_CASE("a shut gate refuses and gives back what waited") {
-  RequestGate Gate = warmGate(1, 100ms);
+TEST_CASE("closing the gate returns the waiting requests and refuses others") {
+  RequestGate Gate = gateWithService(1, 100ms);
   CHECK(Gate.offer(request(1, 1s), Start).m_Verdict == GateVerdict::Send);
   CHECK(Gate.offer(request(2, 1s), Start).m_Verdict == GateVerdict::Wait);
   CHECK(Gate.shut() == std::vector<RequestHandle>{RequestHandle(2)});
@@ -153,8 +154,8 @@
   CHECK(Refused.m_RetryAfter > Duration::zero());
 }
 
-TEST_CASE("what can't be answered in its objective is refused at arrival") {
-  RequestGate Gate = warmGate(1, 100ms);
+TEST_CASE("a request that can't meet its objective is refused on arrival") {
+  RequestGate Gate = gateWithService(1, 100ms);
   CHECK(Gate.offer(request(1, 300ms), Start).m_Verdict == GateVerdict::Send);
   CHECK(Gate.offer(request(2, 300ms), Start).m_Verdict == GateVerdict::Wait);
   const GateDecision Refused = Gate.offer(request(3, 300ms), Start);
@@ -162,15 +163,15 @@
   CHECK(Refused.m_RetryAfter >= 100ms);
 }
 
-TEST_CASE("a request whose time is nearly over is refused, free slots or not") {
-  RequestGate Gate = warmGate(4, 200ms);
+TEST_CASE("a request too close to its deadline is refused despite free slots") {
+  RequestGate Gate = gateWithService(4, 200ms);
   GateRequest Late = request(1, 300ms);
   Late.m_Deadline = Start + 50ms;
   CHECK(Gate.offer(Late, Start).m_Verdict == GateVerdict::Refuse);
 }
 
-TEST_CASE("more urgent requests go first, then those due first") {
-  RequestGate Gate = warmGate(1, 10ms);
+TEST_CASE("requests are sent by priority, then by objective") {
+  RequestGate Gate = gateWithService(1, 10ms);
   Gate.offer(request(1, 1s), Start);
   Gate.offer(request(2, 900ms, 2), Start);
   Gate.offer(request(3, 800ms, 1), Start);
@@ -184,8 +185,9 @@
   CHECK(Gate.next(Start) == RequestHandle(2));
 }
 
-TEST_CASE("requests that are late anyway let the others pass") {
-  RequestGate Gate = warmGate(1, 100ms);
+TEST_CASE("requests that will be late are sent after those that can be on "
+          "time") {
+  RequestGate Gate = gateWithService(1, 100ms);
   Gate.offer(request(1, 1s), Start);
   GateRequest Late = request(2, 50ms, 0);
   Late.m_Deadline = Start + 2s;
@@ -195,31 +197,31 @@
   CHECK(Gate.next(Start) == RequestHandle(3));
 }
 
-TEST_CASE("calls of a running request go first and count to their deadline") {
-  RequestGate Gate = warmGate(1, 100ms);
+TEST_CASE("nested requests go first and only their deadline applies") {
+  RequestGate Gate = gateWithService(1, 100ms);
   Gate.offer(request(1, 1s), Start);
   Gate.offer(request(2, 1s, 0), Start);
-  GateRequest Call = request(3, 60ms, 5);
-  Call.m_Deadline = Start + 1s;
-  Call.m_Nested = true;
-  CHECK(Gate.offer(Call, Start).m_Verdict == GateVerdict::Wait);
+  GateRequest Nested = request(3, 60ms, 5);
+  Nested.m_Deadline = Start + 1s;
+  Nested.m_Nested = true;
+  CHECK(Gate.offer(Nested, Start).m_Verdict == GateVerdict::Wait);
   Gate.finished("r", 100ms, true);
   CHECK(Gate.next(Start) == RequestHandle(3));
 }
 
-TEST_CASE("a waiting request that has become late yields to timely ones") {
-  RequestGate Gate = warmGate(1, 100ms);
+TEST_CASE("a late waiting request expires if another one can be on time") {
+  RequestGate Gate = gateWithService(1, 100ms);
   Gate.offer(request(1, 1s), Start);
   Gate.offer(request(2, 400ms), Start);
-  // 50 ms are left, and a quick request takes 60 ms.
+  // 50 ms are left, and a fast request takes 60 ms.
   CHECK(Gate.expire(Start + 350ms).empty());
   Gate.offer(request(3, 1s, 1, Start + 350ms), Start + 350ms);
   CHECK(Gate.expire(Start + 350ms) ==
         std::vector<RequestHandle>{RequestHandle(2)});
 }
 
-TEST_CASE("a cold target gets its rate and a small burst, whatever comes") {
-  RequestGate Gate = warmGate(9, 20ms);
+TEST_CASE("a cold target gets at most its rate and a small burst") {
+  RequestGate Gate = gateWithService(9, 20ms);
   Gate.limitRate(8, Start + 10s, Start);
   int Sent = 0;
   std::uint64_t Handle = 0;
@@ -236,38 +238,40 @@
   CHECK(Sent >= 8);
 }
 
-TEST_CASE("overload of twice the capacity: what is admitted is in time") {
-  // 9 slots of 200 ms bear 45 requests a second.
-  const ReplayResult Result = replay(90, 20, 200ms, 9, 600ms);
-  CHECK(Result.m_Timely >= 0.9 * 45 * 20);
-  CHECK(Result.m_Late <= 0.05 * Result.m_Timely);
-  CHECK(Result.m_Expired <= 0.02 * Result.m_Timely);
+TEST_CASE("at twice the capacity, admitted requests are answered in time") {
+  // 9 slots and 200 ms per request: 45 requests per second.
+  const SimulationResult Result = simulate(90, 20, 200ms, 9, 600ms);
+  CHECK(Result.m_OnTime >= 0.9 * 45 * 20);
+  CHECK(Result.m_Late <= 0.05 * Result.m_OnTime);
+  CHECK(Result.m_Expired <= 0.02 * Result.m_OnTime);
 }
 
-TEST_CASE("overload beside calls that pass the queue: few wait in vain") {
-  // Calls take 2 of 9 slots, so 35 requests a second can be served.
-  const ReplayResult Result =
-      replay(80, 20, 200ms, 9, 600ms, {.m_CallsPerSecond = 50});
-  CHECK(Result.m_Timely >= 0.85 * 35 * 20);
-  CHECK(Result.m_Expired <= 0.05 * Result.m_Timely);
+TEST_CASE("under overload with nested requests, few queued requests expire") {
+  // Nested requests take 2 of 9 slots, so 35 requests per second can be served.
+  const SimulationResult Result =
+      simulate(80, 20, 200ms, 9, 600ms, {.m_NestedPerSecond = 50});
+  CHECK(Result.m_OnTime >= 0.85 * 35 * 20);
+  CHECK(Result.m_Expired <= 0.05 * Result.m_OnTime);
 }
 
-TEST_CASE("overload with requests that fail late: few wait in vain") {
-  // A third holds its slot for 500 ms and fails: 30 starts a second, 20 good.
-  const ReplayResult Result =
-      replay(80, 20, 200ms, 9, 600ms,
-             {.m_FailingPart = 1.0 / 3, .m_FailingService = 500ms});
-  CHECK(Result.m_Timely >= 0.8 * 20 * 20);
-  CHECK(Result.m_Expired <= 0.05 * Result.m_Timely);
+TEST_CASE("under overload with slow failures, few queued requests expire") {
+  // A third occupies its slot for 500 ms and fails: 30 requests per second are
+  // started, and 20 of them succeed.
+  const SimulationResult Result =
+      simulate(80, 20, 200ms, 9, 600ms,
+             {.m_FailingShare = 1.0 / 3, .m_FailingService = 500ms});
+  CHECK(Result.m_OnTime >= 0.8 * 20 * 20);
+  CHECK(Result.m_Expired <= 0.05 * Result.m_OnTime);
 }
 
-TEST_CASE("load just under the capacity is hardly refused") {
-  const ReplayResult Result = replay(36, 20, 200ms, 9, 600ms);
+TEST_CASE("just below the capacity, few requests are refused") {
+  const SimulationResult Result = simulate(36, 20, 200ms, 9, 600ms);
   CHECK(Result.m_Refused <= 0.02 * 36 * 20);
-  CHECK(Result.m_Timely >= 0.97 * (Result.m_Timely + Result.m_Late));
+  CHECK(Result.m_OnTime >= 0.97 * (Result.m_OnTime + Result.m_Late));
 }
 
-TEST_CASE("random use: never more than the slots, each request leaves once") {
+TEST_CASE("in random use the slots are never exceeded and each request leaves "
+          "the gate once") {
   rc::check([] {
     RequestGate Gate({});
     const auto Slots = *rc::gen::inRange<std::uint32_t>(1, 5);
--- a/tests/unit-retry-budget.cpp
+++ b/tests/unit-retry-budget.cpp
@@ -1,4 +1,5 @@
-// The retry budget: never more retries than its share, jitter within bounds.
+// Tests of the retry budget: the share of retries is bounded, and so is the
+// delay with its jitter.
 #include "balsamwheel/coordination.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +8,7 @@
 using namespace balsamwheel;
 using namespace std::chrono_literals;
 
-TEST_CASE("retries never exceed their share of first attempts and the burst") {
+TEST_CASE("retries never exceed the ratio of first attempts plus the burst") {
   CHECK(rc::check("any mix of attempts and retries", [] {
     RetryBudgetOptions Options;
     Options.m_Ratio = *rc::gen::inRange(0, 100) / 100.0;
@@ -29,7 +30,7 @@
   }));
 }
 
-TEST_CASE("a spent budget refills by first attempts only") {
+TEST_CASE("an exhausted budget is refilled by first attempts") {
   RetryBudget Budget({.m_Ratio = 0.5, .m_Burst = 2});
   CHECK(Budget.takeRetry());
   CHECK(Budget.takeRetry());
@@ -41,13 +42,13 @@
 }
 
 TEST_CASE(
-    "the default budget keeps 2,000 requests under 1.1 times their load") {
+    "the default budget keeps the load of 2,000 requests below 1.1 times") {
   const RetryBudgetOptions Options;
   constexpr double Requests = 2000;
   CHECK(Options.m_Ratio * Requests + Options.m_Burst <= 0.1 * Requests);
 }
 
-TEST_CASE("delays are jittered below an exponential bound") {
+TEST_CASE("the delay has full jitter below an exponential bound") {
   CHECK(
       rc::check("full jitter", [](std::uint32_t Attempt, std::uint64_t Random) {
         const RetryBudget Budget({.m_BaseDelay = 5ms, .m_MaxDelay = 200ms});
--- a/tests/unit-route-table.cpp
+++ b/tests/unit-route-table.cpp
@@ -1,5 +1,5 @@
-// Routes: the longest prefix wins, shares follow their weights, unsound
-// configurations are rejected with the reason.
+// Tests of the route table: longest-prefix match, weighted shares, and the
+// rejection of invalid configurations with a reason.
 #include "balsamwheel/detail/routing/route_table.h"
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of the host that begins the path is chosen") {
+TEST_CASE("the longest matching prefix of the host is chosen") {
   const RouteTable Table =
       table({route("short", "h", "/a/"), route("long", "h", "/a/b/"),
              route("other", "g", "/a/b/c/"), route("root", "r", "/")});
@@ -45,7 +45,7 @@
   CHECK(Table.match("h", "") == nullptr);
 }
 
-TEST_CASE("an unsound configuration is rejected with its reason") {
+TEST_CASE("an invalid configuration is rejected with a reason") {
   CHECK_FALSE(table({route("r", "h", "/a/")}).problem().has_value());
   const auto Problem = [](auto Change) {
     Route Changed = route("r", "h", "/a/");
--- a/tests/unit-sketch.cpp
+++ b/tests/unit-sketch.cpp
@@ -1,4 +1,4 @@
-// Heavy hitters and decaying rates against exact counts.
+// Tests of the heavy-hitter sketch and the decaying rates against exact counts.
 #include "balsamwheel/coordination.h"
 
 #include <doctest/doctest.h>
@@ -45,7 +45,7 @@
   }));
 }
 
-TEST_CASE("the heaviest come first and scaling keeps the order") {
+TEST_CASE("items are in descending order of weight, also after scaling") {
   HeavyHitters<int> Sketch(4);
   for (int Item = 1; Item <= 4; ++Item)
     Sketch.record(Item, Item);
@@ -58,7 +58,7 @@
   CHECK(Sketch.totalWeight() == doctest::Approx(5));
 }
 
-TEST_CASE("a steady rate is found, and forgotten when it ends") {
+TEST_CASE("a steady rate is estimated, and decays when the requests end") {
   ShardRates Rates({.m_Decay = 5s});
   TimePoint Now{1s};
   for (int Request = 0; Request < 100 * 300; ++Request) {
@@ -81,7 +81,7 @@
   CHECK(Rates.hottestShards(5, Now).size() == 1);
 }
 
-TEST_CASE("shard rates sum up to the total at any time") {
+TEST_CASE("the sum of the shard rates is the total rate at any time") {
   CHECK(rc::check("random requests", [] {
     ShardRates Rates({.m_Decay = Duration(*rc::gen::inRange(1'000, 1'000'000)),
                       .m_Keys = 8});
--- a/tests/unit-target-board.cpp
+++ b/tests/unit-target-board.cpp
@@ -1,4 +1,4 @@
-// Choice of a target: load, speed, failures, domains.
+// Tests of the choice of a target by load, speed, failures and domain.
 #include "balsamwheel/detail/load/target_board.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("the target that is expected to answer first is chosen") {
+TEST_CASE("the target with the least expected completion time is chosen") {
   TargetBoard Board({});
   Board.report(A, report(9, 100ms));
   Board.report(B, report(0, 150ms));
@@ -32,7 +32,7 @@
   CHECK(Board.choose(Both, false, 0, Start) == A);
 }
 
-TEST_CASE("what was sent since the last report counts") {
+TEST_CASE("requests sent since the last report count as load") {
   TargetBoard Board({});
   Board.report(A, report(0, 100ms));
   Board.report(B, report(0, 100ms));
@@ -41,7 +41,7 @@
   CHECK(Board.choose(Both, false, 0, Start) == B);
 }
 
-TEST_CASE("shut and unknown gates are never chosen") {
+TEST_CASE("targets with closed or unknown gates are never chosen") {
   TargetBoard Board({});
   CHECK_FALSE(Board.choose(Both, false, 0, Start).has_value());
   Board.report(A, {.m_Slots = 0, .m_Service = 1ms});
@@ -52,7 +52,8 @@
   CHECK_FALSE(Board.choose(Both, false, 0, Start).has_value());
 }
 
-TEST_CASE("a target that fails requests is avoided for a while") {
+TEST_CASE("a target that fails requests is avoided until its failure rate "
+          "decays") {
   TargetBoard Board({});
   Board.report(A, report(0, 50ms));
   Board.report(B, report(0, 150ms));
@@ -62,7 +63,7 @@
   CHECK(Board.choose(Both, false, 0, Start + 30s) == A);
 }
 
-TEST_CASE("large answers prefer the caller's domain") {
+TEST_CASE("requests with large answers prefer targets in the caller's domain") {
   TargetBoard Board({});
   Board.report(A, report(3, 100ms));
   Board.report(B, report(0, 100ms));
@@ -70,7 +71,7 @@
   CHECK(Board.choose(Both, true, 0, Start) == A);
 }
 
-TEST_CASE("a cold target gets what its rate bears") {
+TEST_CASE("the rate limit of a cold target counts in its completion time") {
   TargetBoard Board({});
   Board.report(A, {.m_Running = 0,
                    .m_Waiting = 4,
@@ -81,12 +82,12 @@
   CHECK(Board.choose(Both, false, 0, Start) == B);
 }
 
-TEST_CASE("many entrances with the same old reports don't all choose one") {
+TEST_CASE("entrances with the same old reports do not all choose one target") {
   TargetBoard Board({});
   std::vector<TargetBoard::Candidate> Many;
   for (int Index = 0; Index < 26; ++Index) {
     Many.push_back({.m_Target = InstanceName("t" + std::to_string(Index))});
-    // Speeds differ by more than two.
+    // Service times differ by a factor of more than two.
     Board.report(Many.back().m_Target,
                  report(0, std::chrono::milliseconds(200 + 10 * Index)));
   }
