--- a/tests/unit-retry-budget.cpp
+++ b/tests/unit-retry-budget.cpp
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE(
-    "the default budget keeps the load of 2,000 requests below 1.1 times") {
+    "the default budget allows at most 10% retries over 2,000 requests") {
   const RetryBudgetOptions Options;
   constexpr double Requests = 2000;
   CHECK(Options.m_Ratio * Requests + Options.m_Burst <= 0.1 * Requests);
