--- a/src/load/latency_trend.cpp
+++ b/src/load/latency_trend.cpp
@@ -22,8 +22,8 @@
 constexpr double HealthyNoise = 1.5;
 constexpr double CongestedRatio = 1.6;
 constexpr double CongestedNoise = 3;
-/// Consecutive unhealthy windows that count as congestion if their common mean
-/// exceeds CongestedRatio.
+/// Consecutive unhealthy windows that count as congestion if their mean exceeds
+/// CongestedRatio times the baseline.
 constexpr std::uint32_t UnhealthyWindows = 3;
 /// Minimum time from the first to the last sample of a window.
 constexpr Duration MinWindowTime = std::chrono::milliseconds(50);
