--- a/include/balsamwheel/detail/keyspace/hold_ledger.h
+++ b/include/balsamwheel/detail/keyspace/hold_ledger.h
@@ -101,9 +101,10 @@
   HoldOptions m_Options;
   KeyOwner m_Self;
   std::vector<GrantSpan> m_Granted;
-  /// Until then the target holds m_Granted, even on the fastest clock.
+  /// Until then the target holds m_Granted, even on the fastest permitted
+  /// clock.
   TimePoint m_GrantedUntil;
-  /// Until then the target may hold m_Granted, on the slowest clock.
+  /// Until then the target may hold m_Granted, on the slowest permitted clock.
   TimePoint m_HeldUntil;
   std::vector<HeldSpan> m_Reported;
   /// Heartbeats since the last change of the granted spans.
--- a/include/balsamwheel/detail/keyspace/key_planner.h
+++ b/include/balsamwheel/detail/keyspace/key_planner.h
@@ -13,12 +13,12 @@
 
 namespace balsamwheel {
 
-/// The load of a service's keys is measured in slices of equal size. A hot range
-/// is typically 60 to 200 keys long.
+/// The load of a service's keys is measured in slices of equal size. A hot
+/// range is typically 60 to 200 keys long.
 inline constexpr std::size_t KeySlices = 1024;
 inline constexpr std::uint32_t KeysPerSlice = KeyCount / KeySlices;
-/// Load of the keys of each slice: slot time per second, i.e. the mean number of
-/// busy slots.
+/// Load of the keys of each slice: slot time per second, i.e. the mean number
+/// of busy slots.
 using SliceLoads = std::array<float, KeySlices>;
 
 enum class TargetCondition : std::uint8_t {
@@ -59,12 +59,12 @@
   /// Records the revocations in a new version of the map.
   void observe(const KeyMap &Map, TimePoint Now);
 
-  /// Returns the next state of the map; equal to \p Map when there is nothing to
-  /// do.
+  /// Returns the next state of the map; equal to \p Map when there is nothing
+  /// to do.
   ///
   /// Rules, in order: the keys of lost owners are revoked; revoked keys become
-  /// free when the revocation wait is over; leaving owners release their keys to
-  /// next owners; free keys go to the target with the least load relative to
+  /// free when the revocation wait is over; leaving owners release their keys
+  /// to next owners; free keys go to the target with the least load relative to
   /// its capacity; if no other change is pending and the loads differ too much
   /// from the fair share, the most loaded targets release their hottest keys.
   ///
--- a/include/balsamwheel/detail/load/link_delay.h
+++ b/include/balsamwheel/detail/load/link_delay.h
@@ -33,7 +33,8 @@
       m_WindowEnd = Now + Window;
     }
     m_CurrentMin = std::min(m_CurrentMin.value_or(Offset), Offset);
-    return Offset - std::min(*m_CurrentMin, m_PreviousMin.value_or(*m_CurrentMin));
+    return Offset -
+           std::min(*m_CurrentMin, m_PreviousMin.value_or(*m_CurrentMin));
   }
 
 private:
--- a/include/balsamwheel/detail/load/target_board.h
+++ b/include/balsamwheel/detail/load/target_board.h
@@ -92,7 +92,8 @@
     TimePoint m_FailureRateAt;
   };
 
-  double cost(const Candidate &Option, bool LargeAnswer, Duration Completion) const;
+  double cost(const Candidate &Option, bool LargeAnswer,
+              Duration Completion) const;
   double failureRate(const Entry &Target, TimePoint Now) const;
 
   TargetBoardOptions m_Options;
--- a/include/balsamwheel/detail/routing/route_table.h
+++ b/include/balsamwheel/detail/routing/route_table.h
@@ -1,5 +1,5 @@
-// One version of the routing configuration: maps host and path to services, with
-// the limits that apply.
+// One version of the routing configuration: maps host and path to services,
+// with the limits that apply.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -70,8 +70,8 @@
   Duration m_IdleTimeout = std::chrono::seconds(15);
 };
 
-/// Immutable. In a table without a problem(), every share of every route names a
-/// service of the table.
+/// Immutable. In a table without a problem(), every share of every route names
+/// a service of the table.
 class RouteTable {
 public:
   RouteTable() = default;
--- a/src/keyspace/hold_ledger.cpp
+++ b/src/keyspace/hold_ledger.cpp
@@ -28,7 +28,8 @@
               const std::vector<GrantSpan> &Right) {
   return std::equal(Left.begin(), Left.end(), Right.begin(), Right.end(),
                     [](const GrantSpan &First, const GrantSpan &Second) {
-                      return First.m_First == Second.m_First && First.m_Last == Second.m_Last &&
+                      return First.m_First == Second.m_First &&
+                             First.m_Last == Second.m_Last &&
                              First.m_Fence == Second.m_Fence;
                     });
 }
@@ -91,7 +92,7 @@
   std::vector<ReleasedSpan> Result;
   for (const KeySpan &Span : Map.spans()) {
     const bool MustRelease = Span.m_State == SpanState::Releasing ||
-                        Span.m_State == SpanState::Revoked;
+                             Span.m_State == SpanState::Revoked;
     if (!MustRelease || Span.m_Owner != m_Self)
       continue;
     bool HasToken = false;
--- a/src/keyspace/key_planner.cpp
+++ b/src/keyspace/key_planner.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Load that is added to the measured load of each key, in busy slots: keeps the
-/// keys evenly distributed when no load has been measured yet.
+/// Load that is added to the measured load of each key, in busy slots: keeps
+/// the keys evenly distributed when no load has been measured yet.
 constexpr double BaseLoadPerKey = 1.0 / KeyCount;
 /// Granularity of moves, in keys.
 constexpr std::uint32_t StepKeys = 16;
@@ -21,11 +21,11 @@
 constexpr std::size_t MaxSpansPerOwner = 60;
 
 /// Maximum load of a slice for planning, in fair shares per unit of capacity:
-/// the load of a single key beyond it can't be served, whichever target owns the
-/// slice.
+/// the load of a single key beyond it can't be served, whichever target owns
+/// the slice.
 constexpr double MaxSliceFairShares = 1.5;
-/// Iterations in which the fair share and the cap of the slices, which depend on
-/// each other, converge.
+/// Iterations in which the fair share and the cap of the slices, which depend
+/// on each other, converge.
 constexpr int CapRounds = 12;
 
 /// Caps the load of each slice, for a service of the given capacity.
@@ -37,8 +37,7 @@
     double Sum = 0;
     for (const float Load : Result)
       Sum += Load;
-    const auto Cap =
-        static_cast<float>(MaxSliceFairShares * Sum / Capacity);
+    const auto Cap = static_cast<float>(MaxSliceFairShares * Sum / Capacity);
     for (float &Load : Result)
       Load = std::min(Load, Cap);
   }
@@ -92,8 +91,9 @@
 class PlanBuilder {
 public:
   PlanBuilder(const KeyMap &Map, const std::vector<KeyCandidate> &Candidates,
-           const SliceLoads &Loads)
-      : m_Map(Map), m_Loads(capSliceLoads(Loads, eligibleCapacity(Candidates))) {
+              const SliceLoads &Loads)
+      : m_Map(Map),
+        m_Loads(capSliceLoads(Loads, eligibleCapacity(Candidates))) {
     for (const KeyCandidate &Each : Candidates) {
       m_Conditions[Each.m_Owner] = Each.m_Condition;
       if (Each.m_Condition == TargetCondition::Fit)
@@ -112,7 +112,8 @@
   }
 
   /// Distributes the keys of \p Span, as a whole or in parts, over the targets
-  /// with the least load; \p Make fills in the entry of a part for its receiver.
+  /// with the least load; \p Make fills in the entry of a part for its
+  /// receiver.
   template <typename MakeEntry>
   void distribute(const KeySpan &Span, MakeEntry Make) {
     const double TotalLoad = m_Loads.loadOf(Span.m_First, Span.m_Last);
@@ -123,7 +124,7 @@
       std::uint32_t Last = First;
       const double MaxLoad =
           std::max(MinPartLoad, fairShare() * Receiver.m_Candidate.m_Capacity -
-                              Receiver.m_Load);
+                                    Receiver.m_Load);
       Last = endOfRange(First, Span.m_Last, MaxLoad);
       KeySpan Part = Span;
       Part.m_First = static_cast<KeyIndex>(First);
@@ -152,13 +153,15 @@
       if (MostLoaded.m_NothingMovable)
         return;
       TargetLoad &LeastLoaded = leastLoaded();
-      const bool Underloaded = LeastLoaded.loadPerCapacity() < Fair * (1 - Tolerance);
-      const bool Overloaded = MostLoaded.loadPerCapacity() > Fair * (1 + Tolerance);
+      const bool Underloaded =
+          LeastLoaded.loadPerCapacity() < Fair * (1 - Tolerance);
+      const bool Overloaded =
+          MostLoaded.loadPerCapacity() > Fair * (1 + Tolerance);
       if (!Overloaded && !Underloaded)
         return;
-      const double Excess =
-          std::min(MostLoaded.m_Load - Fair * MostLoaded.m_Candidate.m_Capacity,
-                   Fair * LeastLoaded.m_Candidate.m_Capacity - LeastLoaded.m_Load);
+      const double Excess = std::min(
+          MostLoaded.m_Load - Fair * MostLoaded.m_Candidate.m_Capacity,
+          Fair * LeastLoaded.m_Candidate.m_Capacity - LeastLoaded.m_Load);
       auto Range = hottestRange(MostLoaded.m_Candidate.m_Owner, Excess);
       if (!Range) {
         MostLoaded.m_NothingMovable = true;
@@ -193,10 +196,11 @@
   }
 
   TargetLoad &leastLoaded() {
-    return *std::min_element(m_Eligible.begin(), m_Eligible.end(),
-                             [](const TargetLoad &Left, const TargetLoad &Right) {
-                               return Left.loadPerCapacity() < Right.loadPerCapacity();
-                             });
+    return *std::min_element(
+        m_Eligible.begin(), m_Eligible.end(),
+        [](const TargetLoad &Left, const TargetLoad &Right) {
+          return Left.loadPerCapacity() < Right.loadPerCapacity();
+        });
   }
 
   /// The hottest keys of an owner whose load is about \p MaxLoad at most;
@@ -230,9 +234,10 @@
     return Best;
   }
 
-  /// Extends \p Range within \p Limits, by the hotter neighbour first, while its
-  /// load stays within \p MaxLoad.
-  void extendRange(KeySpan &Range, const KeySpan &Limits, double MaxLoad) const {
+  /// Extends \p Range within \p Limits, by the hotter neighbour first, while
+  /// its load stays within \p MaxLoad.
+  void extendRange(KeySpan &Range, const KeySpan &Limits,
+                   double MaxLoad) const {
     double Load = m_Loads.loadOf(Range.m_First, Range.m_Last);
     while (true) {
       const std::uint32_t Before =
@@ -240,7 +245,8 @@
       const std::uint32_t After =
           std::min<std::uint32_t>(StepKeys, Limits.m_Last - Range.m_Last);
       const double Left =
-          Before ? m_Loads.loadOf(Range.m_First - Before, Range.m_First - 1U) : 0;
+          Before ? m_Loads.loadOf(Range.m_First - Before, Range.m_First - 1U)
+                 : 0;
       const double Right =
           After ? m_Loads.loadOf(Range.m_Last + 1U, Range.m_Last + After) : 0;
       const bool TakeRight = After && (Right >= Left || !Before);
@@ -262,10 +268,10 @@
     return m_Loads.loadOf(0, KeyCount - 1) / std::max(Capacity, 0.05);
   }
 
-  /// Last key of the longest range from \p First whose load is at most \p MaxLoad;
-  /// at least one step.
+  /// Last key of the longest range from \p First whose load does not exceed
+  /// \p MaxLoad; at least one step.
   std::uint32_t endOfRange(std::uint32_t First, std::uint32_t Limit,
-                       double MaxLoad) const {
+                           double MaxLoad) const {
     std::uint32_t Last = std::min(Limit, First + StepKeys - 1);
     double Load = m_Loads.loadOf(First, Last);
     while (Last < Limit) {
@@ -293,7 +299,8 @@
     if (Span.m_State != SpanState::Revoked)
       continue;
     auto Known = m_RevokedSince.find(revocationId(Span));
-    Seen[revocationId(Span)] = Known == m_RevokedSince.end() ? Now : Known->second;
+    Seen[revocationId(Span)] =
+        Known == m_RevokedSince.end() ? Now : Known->second;
   }
   m_RevokedSince = std::move(Seen);
 }
--- a/src/load/admission.cpp
+++ b/src/load/admission.cpp
@@ -165,7 +165,8 @@
   // More urgent classes take slots of this one once their reserved ones are
   // occupied.
   const std::uint32_t Reserved = limit() - Open;
-  const std::uint32_t MoreUrgent = runningUpTo(Class) - m_Running.at(index(Class));
+  const std::uint32_t MoreUrgent =
+      runningUpTo(Class) - m_Running.at(index(Class));
   const std::uint32_t Taken = MoreUrgent > Reserved ? MoreUrgent - Reserved : 0;
   return Work / static_cast<Duration::rep>(Open > Taken ? Open - Taken : 1);
 }
@@ -200,7 +201,8 @@
     return false;
   if (m_Now < m_Limit.pausedUntil())
     return false;
-  return Class != Urgency::Bulk || limit() > 1 || !recentlyOffered(Urgency::Urgent);
+  return Class != Urgency::Bulk || limit() > 1 ||
+         !recentlyOffered(Urgency::Urgent);
 }
 
 std::uint32_t AdmissionGate::Impl::runningUpTo(Urgency Class) const {
--- a/src/load/concurrency_limit.cpp
+++ b/src/load/concurrency_limit.cpp
@@ -78,8 +78,8 @@
   m_PausesInRow = 0;
   const std::optional<LatencyVerdict> Verdict =
       m_Trends.at(static_cast<std::size_t>(Class))
-          .add(Result.m_Latency, std::clamp(m_Limit, MinWindowSamples, MaxWindowSamples),
-               Now);
+          .add(Result.m_Latency,
+               std::clamp(m_Limit, MinWindowSamples, MaxWindowSamples), Now);
   if (Verdict)
     onVerdict(*Verdict, Now);
 }
--- a/src/load/latency_histogram.cpp
+++ b/src/load/latency_histogram.cpp
@@ -42,8 +42,8 @@
   const auto Microseconds = static_cast<double>(Latency.count());
   if (Microseconds <= FirstBoundMicros)
     return 0;
-  const double Position =
-      std::ceil(std::log2(Microseconds / FirstBoundMicros) * BucketsPerDoubling);
+  const double Position = std::ceil(std::log2(Microseconds / FirstBoundMicros) *
+                                    BucketsPerDoubling);
   return std::min(static_cast<std::size_t>(Position), BucketCount - 1);
 }
 
--- a/src/load/latency_trend.cpp
+++ b/src/load/latency_trend.cpp
@@ -70,10 +70,11 @@
   const bool Healthy = Mean <= healthyMean(m_WindowCount);
   m_UnhealthyInRow = Healthy ? 0 : m_UnhealthyInRow + 1;
   m_UnhealthySum = Healthy ? 0 : m_UnhealthySum + Mean;
-  const LatencyVerdict Result{
-      .m_Ratio = Mean / m_Baseline,
-      .m_Congested = Mean > congestedMean(m_WindowCount) || persistentlyUnhealthy(),
-      .m_Healthy = Healthy};
+  const LatencyVerdict Result{.m_Ratio = Mean / m_Baseline,
+                              .m_Congested =
+                                  Mean > congestedMean(m_WindowCount) ||
+                                  persistentlyUnhealthy(),
+                              .m_Healthy = Healthy};
   // A jump of the latency must not increase the deviation that it is compared
   // with.
   if (Healthy)
--- a/src/load/picker.cpp
+++ b/src/load/picker.cpp
@@ -1,4 +1,5 @@
-// Chooses targets by observed latency, with outlier ejection and a hedge budget.
+// Chooses targets by observed latency, with outlier ejection and a hedge
+// budget.
 #include "balsamwheel/detail/load/picker.h"
 
 #include "load/target_record.h"
@@ -65,8 +66,8 @@
   void ejectOutliers(std::span<const SessionId> Candidates, TimePoint Now);
   bool isOutlier(SessionId Target, std::span<const SessionId> Candidates,
                  TimePoint Now);
-  double medianLatency(std::span<const SessionId> Candidates, SessionId Excluded,
-                       TimePoint Now);
+  double medianLatency(std::span<const SessionId> Candidates,
+                       SessionId Excluded, TimePoint Now);
   std::optional<SessionId> dueProbe(const Sessions &Eligible, TimePoint Now);
   void finishProbe(SessionId Target, Duration Latency, bool Failed,
                    TimePoint Now);
@@ -190,8 +191,8 @@
   return medianOf(std::move(Known));
 }
 
-// A probe may get a slow answer, so it is sent only while the budget has a hedge
-// for it.
+// A probe may get a slow answer, so it is sent only while the budget has a
+// hedge for it.
 std::optional<SessionId> Picker::Impl::dueProbe(const Sessions &Eligible,
                                                 TimePoint Now) {
   if (m_Options.m_Hedge && m_HedgeTokens < 1)
--- a/src/load/request_gate.cpp
+++ b/src/load/request_gate.cpp
@@ -75,11 +75,11 @@
 
 bool RequestGate::canBeOnTime(const GateRequest &Request, TimePoint Now) const {
   return micros(dueBy(Request) - Now) >=
-         m_Options.m_FastServiceShare * micros(expectedService(Request.m_Route));
+         m_Options.m_FastServiceShare *
+             micros(expectedService(Request.m_Route));
 }
 
-Duration RequestGate::maxWait(const GateRequest &Request,
-                                   TimePoint Now) const {
+Duration RequestGate::maxWait(const GateRequest &Request, TimePoint Now) const {
   const double Service = micros(expectedService(Request.m_Route));
   if (!canBeOnTime(Request, Now))
     return fromMicros(m_Options.m_LateWaitShare *
@@ -89,10 +89,10 @@
                              m_Options.m_MinWaitShare * Left));
 }
 
-bool RequestGate::cannotMeetDeadline(const GateRequest &Request, TimePoint Now) const {
+bool RequestGate::cannotMeetDeadline(const GateRequest &Request,
+                                     TimePoint Now) const {
   return micros(Request.m_Deadline - Now) <
-         m_Options.m_MinServiceShare *
-             micros(expectedService(Request.m_Route));
+         m_Options.m_MinServiceShare * micros(expectedService(Request.m_Route));
 }
 
 GateDecision RequestGate::refusal(Duration Wait) const {
@@ -103,7 +103,7 @@
 }
 
 bool RequestGate::precedes(const Waiting &Left, const Waiting &Right,
-                         TimePoint Now) const {
+                           TimePoint Now) const {
   const bool LeftOnTime = canBeOnTime(Left.m_Request, Now);
   const bool RightOnTime = canBeOnTime(Right.m_Request, Now);
   if (LeftOnTime != RightOnTime)
@@ -125,7 +125,8 @@
   if (m_StartGap > 0 && Now - m_LastStart < m_Options.m_StartGapLifetime)
     Wait = std::max(Wait, m_StartGap * static_cast<double>(Ahead + 1));
   if (const double Rate = rateLimit(Now); Rate > 0) {
-    const double Missing = static_cast<double>(Ahead) + 1 - availablePermits(Now);
+    const double Missing =
+        static_cast<double>(Ahead) + 1 - availablePermits(Now);
     Wait = std::max(Wait, Missing / Rate * 1e6);
   }
   return fromMicros(Wait);
@@ -224,7 +225,8 @@
     return;
   const double Sample = micros(Service);
   const auto UpdateMean = [&](double &Mean) {
-    Mean = Mean > 0 ? Mean + m_Options.m_ServiceWeight * (Sample - Mean) : Sample;
+    Mean =
+        Mean > 0 ? Mean + m_Options.m_ServiceWeight * (Sample - Mean) : Sample;
   };
   UpdateMean(m_Service[Route]);
   UpdateMean(m_MeanService);
@@ -235,8 +237,8 @@
     return std::nullopt;
   const double Rate = rateLimit(Now);
   if (Rate > 0 && m_Running < m_Slots)
-    return Now +
-           fromMicros(std::max(1000.0, (1 - availablePermits(Now)) / Rate * 1e6));
+    return Now + fromMicros(std::max(1000.0,
+                                     (1 - availablePermits(Now)) / Rate * 1e6));
   return std::nullopt;
 }
 
--- a/src/load/target_board.cpp
+++ b/src/load/target_board.cpp
@@ -51,10 +51,12 @@
   const GateReport &Report = Known.m_Report;
   const double Service =
       std::max(1.0, static_cast<double>(Report.m_Service.count()));
-  const double Load = Report.m_Running + Report.m_Waiting + Known.m_SentSinceReport;
+  const double Load =
+      Report.m_Running + Report.m_Waiting + Known.m_SentSinceReport;
   double Total = Service * (1 + Load / Report.m_Slots);
   if (Report.m_RateLimit > 0)
-    Total += (Report.m_Waiting + Known.m_SentSinceReport) / Report.m_RateLimit * 1e6;
+    Total +=
+        (Report.m_Waiting + Known.m_SentSinceReport) / Report.m_RateLimit * 1e6;
   Total *= 1 + m_Options.m_FailureFactor * failureRate(Known, Now);
   return Duration(static_cast<Duration::rep>(Total));
 }
@@ -89,8 +91,9 @@
   const std::size_t Sample = std::min(m_Options.m_SampleSize, Choices.size());
   pcg32 Generator(Random);
   for (std::size_t Index = 0; Index < Sample; ++Index)
-    std::swap(Choices[Index], Choices[Index + Generator(static_cast<std::uint32_t>(
-                                                  Choices.size() - Index))]);
+    std::swap(Choices[Index],
+              Choices[Index + Generator(static_cast<std::uint32_t>(
+                                  Choices.size() - Index))]);
   const auto Best = std::min_element(
       Choices.begin(), Choices.begin() + static_cast<std::ptrdiff_t>(Sample),
       [](const OpenCandidate &Left, const OpenCandidate &Right) {
--- a/src/load/target_record.cpp
+++ b/src/load/target_record.cpp
@@ -17,7 +17,8 @@
 /// A failure counts as a latency of this many times its own or the mean one,
 /// whichever is larger.
 constexpr double FailureCost = 4;
-/// Delay of the first probe after an ejection; it doubles with each further one.
+/// Delay of the first probe after an ejection; it doubles with each further
+/// one.
 constexpr Duration FirstProbeDelay = std::chrono::seconds(1);
 constexpr std::uint32_t MaxProbeDoublings = 4;
 
@@ -93,8 +94,9 @@
 
 void TargetRecord::observe(double Microseconds, TimePoint Now) {
   const auto Since = static_cast<double>((Now - m_LastSample).count());
-  m_Peak = std::max(Microseconds,
-                    m_Mean + (m_Peak - m_Mean) * std::exp(-Since / PeakDecayMicros));
+  m_Peak =
+      std::max(Microseconds,
+               m_Mean + (m_Peak - m_Mean) * std::exp(-Since / PeakDecayMicros));
   m_Mean = m_Samples == 0 ? Microseconds
                           : m_Mean + (Microseconds - m_Mean) * SampleWeight;
   m_LastSample = Now;
--- a/tests/unit-admission.cpp
+++ b/tests/unit-admission.cpp
@@ -43,7 +43,8 @@
   void offer() {
     const RequestHandle Handle(m_NextHandle++);
     const WaitingRequest Request{static_cast<Urgency>(*rc::gen::inRange(0, 3)),
-                        m_Now + Duration(*rc::gen::inRange(0, 500'000))};
+                                 m_Now +
+                                     Duration(*rc::gen::inRange(0, 500'000))};
     const std::uint32_t Before = m_Gate.running();
     const AdmissionDecision Decision =
         m_Gate.offer(Handle, Request.m_Class, Request.m_Deadline, m_Now);
@@ -287,7 +288,8 @@
 TEST_CASE("a refused request is admitted after its retry-after time") {
   CHECK(rc::check("retry-after is sufficient without further requests", [] {
     const Duration Latency = Duration(*rc::gen::inRange(1'000, 50'000));
-    const Duration TimeToDeadline = Duration(*rc::gen::inRange(60'000, 200'000));
+    const Duration TimeToDeadline =
+        Duration(*rc::gen::inRange(60'000, 200'000));
     TimePoint Now{1s};
     AdmissionGate Gate({.m_Slots = 4, .m_Adaptive = false}, Now);
     keepBusy(Gate, Latency, Latency * 40, Now);
--- a/tests/unit-link-delay.cpp
+++ b/tests/unit-link-delay.cpp
@@ -10,7 +10,9 @@
 
 constexpr std::int64_t Ms = 1000;
 
-TimePoint atMillis(std::int64_t Millis) { return TimePoint(Duration(Millis * Ms)); }
+TimePoint atMillis(std::int64_t Millis) {
+  return TimePoint(Duration(Millis * Ms));
+}
 
 } // namespace
 
@@ -19,7 +21,8 @@
     LinkDelay Delay;
     CHECK(Delay.note((1000 + OffsetMs) * Ms, atMillis(1001)) == Duration(0));
     CHECK(Delay.note((1100 + OffsetMs) * Ms, atMillis(1101)) == Duration(0));
-    CHECK(Delay.note((1200 + OffsetMs) * Ms, atMillis(1951)) == Duration(750 * Ms));
+    CHECK(Delay.note((1200 + OffsetMs) * Ms, atMillis(1951)) ==
+          Duration(750 * Ms));
   }
 }
 
@@ -43,7 +46,8 @@
   LinkDelay Delay;
   Duration Worst{0};
   for (std::int64_t Sent = 0; Sent < 3'600'000; Sent += 500)
-    Worst = std::max(Worst, Delay.note(Sent * Ms - Sent / 10, atMillis(Sent + 1)));
+    Worst =
+        std::max(Worst, Delay.note(Sent * Ms - Sent / 10, atMillis(Sent + 1)));
   CHECK(Worst < std::chrono::milliseconds(15));
 }
 
@@ -54,7 +58,8 @@
     for (int I = 0; I < 50; ++I) {
       Sent += *rc::gen::inRange<std::int64_t>(0, 20'000'000);
       const auto Wait = *rc::gen::inRange<std::int64_t>(0, 3'000'000);
-      const Duration Estimate = Delay.note(Sent, TimePoint(Duration(Sent + Wait)));
+      const Duration Estimate =
+          Delay.note(Sent, TimePoint(Duration(Sent + Wait)));
       RC_ASSERT(Estimate >= Duration(0));
       RC_ASSERT(Estimate <= Duration(Wait));
     }
--- a/tests/unit-picker.cpp
+++ b/tests/unit-picker.cpp
@@ -21,7 +21,7 @@
 /// latency of its target; returns the number of requests per target.
 std::map<SessionId, int>
 serveRequests(Picker &Tested, int Requests, TimePoint &Now,
-      const std::function<Duration(SessionId)> &Latency) {
+              const std::function<Duration(SessionId)> &Latency) {
   std::map<SessionId, int> Counts;
   for (int Request = 0; Request < Requests; ++Request) {
     const SessionId Target = *Tested.pick(Three, {}, Now);
@@ -117,8 +117,9 @@
 TEST_CASE("the hedge delay follows the fast targets, not the slow one") {
   TimePoint Now{1s};
   Picker Tested({.m_Policy = PickPolicy::RoundRobin}, 1);
-  serveRequests(Tested, 1000, Now,
-        [](SessionId Target) { return Target == Three[0] ? 500ms : 10ms; });
+  serveRequests(Tested, 1000, Now, [](SessionId Target) {
+    return Target == Three[0] ? 500ms : 10ms;
+  });
   const auto Delay = Tested.hedgeDelay(Now);
   REQUIRE(Delay.has_value());
   CHECK(*Delay >= 10ms);
--- a/tests/unit-request-gate.cpp
+++ b/tests/unit-request-gate.cpp
@@ -58,9 +58,9 @@
 
 /// Simulates open-loop arrivals at a gate whose target has random service
 /// times.
-SimulationResult simulate(double ArrivalsPerSecond, double Seconds, Duration Service,
-                    std::uint32_t Slots, Duration Objective,
-                    const ExtraLoad &Extras = {}) {
+SimulationResult simulate(double ArrivalsPerSecond, double Seconds,
+                          Duration Service, std::uint32_t Slots,
+                          Duration Objective, const ExtraLoad &Extras = {}) {
   RequestGate Gate = gateWithService(Slots, Service);
   pcg32 Random(7);
   std::exponential_distribution<double> Gap(ArrivalsPerSecond);
@@ -75,7 +75,7 @@
   SimulationResult Result;
   TimePoint Now = Start;
   const auto Send = [&](std::uint64_t Handle) {
-    const Duration Mean = Nested.contains(Handle)     ? Extras.m_NestedService
+    const Duration Mean = Nested.contains(Handle)    ? Extras.m_NestedService
                           : Failing.contains(Handle) ? Extras.m_FailingService
                                                      : Service;
     const auto ServiceTime =
@@ -93,8 +93,9 @@
   };
   std::uint64_t Handle = 0;
   const auto After = [&](std::exponential_distribution<double> &Distribution) {
-    return Now + std::chrono::duration_cast<Duration>(
-                     std::chrono::duration<double>(std::min(Distribution(Random), 1e6)));
+    return Now +
+           std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+               std::min(Distribution(Random), 1e6)));
   };
   TimePoint NextArrival = Start;
   TimePoint NextNested = After(NestedGap);
@@ -259,7 +260,7 @@
   // started, and 20 of them succeed.
   const SimulationResult Result =
       simulate(80, 20, 200ms, 9, 600ms,
-             {.m_FailingShare = 1.0 / 3, .m_FailingService = 500ms});
+               {.m_FailingShare = 1.0 / 3, .m_FailingService = 500ms});
   CHECK(Result.m_OnTime >= 0.8 * 20 * 20);
   CHECK(Result.m_Expired <= 0.05 * Result.m_OnTime);
 }
--- a/tests/unit-retry-budget.cpp
+++ b/tests/unit-retry-budget.cpp
@@ -41,8 +41,7 @@
   CHECK(Budget.takeRetry());
 }
 
-TEST_CASE(
-    "the default budget allows at most 10% retries over 2,000 requests") {
+TEST_CASE("the default budget allows at most 10% retries over 2,000 requests") {
   const RetryBudgetOptions Options;
   constexpr double Requests = 2000;
   CHECK(Options.m_Ratio * Requests + Options.m_Burst <= 0.1 * Requests);
