--- a/include/balsamwheel/detail/core/ids.h
+++ b/include/balsamwheel/detail/core/ids.h
@@ -9,7 +9,7 @@
 
 namespace balsamwheel {
 
-/// A value of type \p Rep that converts to no other identifier.
+/// A value of type \p Rep without implicit conversions to other identifiers.
 ///
 /// \tparam Tag distinguishes identifiers that share a representation.
 /// \tparam Rep the stored type, an integer or a string.
@@ -27,7 +27,7 @@
   Rep m_Value{};
 };
 
-/// Names a daemon's slot; stable across restarts, taken from its settings.
+/// Name of a daemon, from its settings; stays the same across restarts.
 using InstanceName = StrongId<struct InstanceNameTag, std::string>;
 using DomainName = StrongId<struct DomainNameTag, std::string>;
 using RegionName = StrongId<struct RegionNameTag, std::string>;
@@ -37,16 +37,17 @@
 /// "host:port" of a daemon's peer transport.
 using PeerAddress = StrongId<struct PeerAddressTag, std::string>;
 
-/// One run of one daemon. Random, never reused; 0 means none.
+/// Identifies one run of one daemon. Random and never reused; 0 means none.
 using SessionId = StrongId<struct SessionIdTag, std::uint64_t>;
 
 /// Index of a shard within its service.
 using ShardIndex = StrongId<struct ShardIndexTag, std::uint32_t>;
 
-/// Fencing token of a shard's assignment. Only grows; 0 means never assigned.
+/// Fencing token of a shard's assignment to an owner. Increases with every new
+/// assignment; 0 means never assigned.
 using Epoch = StrongId<struct EpochTag, std::uint64_t>;
 
-/// Version of the configuration. Only grows; 0 means none.
+/// Version of the configuration. Never decreases; 0 means none.
 using ConfigVersion = StrongId<struct ConfigVersionTag, std::uint64_t>;
 
 /// Hash of a key, see hashKey().
@@ -55,19 +56,21 @@
 /// Identifies a request within one daemon process.
 using RequestHandle = StrongId<struct RequestHandleTag, std::uint64_t>;
 
-/// Identifies one dispatch of a request to the local target.
+/// Identifies an order: one dispatch of a request to the local target.
 using OrderId = StrongId<struct OrderIdTag, std::uint64_t>;
 
 /// Matches a table reply with the read or commit that caused it.
 using TableTicket = StrongId<struct TableTicketTag, std::uint64_t>;
 
-/// Globally unique id of a request, chosen by the caller or the entrance. At
-/// most MaxRequestIdLength printable characters.
+/// Globally unique id of a request, chosen by the caller or by the entrance
+/// (the daemon that receives the request from the caller). At most
+/// MaxRequestIdLength printable characters.
 using RequestId = StrongId<struct RequestIdTag, std::string>;
 
+/// In bytes.
 inline constexpr std::size_t MaxRequestIdLength = 64;
 
-/// A shard of a service that is divided by key.
+/// Identifies a shard of a service that is divided by key.
 struct ShardRef {
   ServiceName m_Service;
   ShardIndex m_Shard;
--- a/include/balsamwheel/detail/core/outcome.h
+++ b/include/balsamwheel/detail/core/outcome.h
@@ -1,4 +1,4 @@
-// What a caller is told about a request.
+// Result codes that callers receive for their requests.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 
 /// The machine-readable result of a request.
 enum class Outcome : std::uint8_t {
-  /// The target ran the request and its whole answer follows.
+  /// The target ran the request; its complete answer follows.
   Done,
   /// No target received any part of the request.
   NotRun,
   /// The request may or may not have run.
   Unknown,
-  /// No target received any part of it; worth retrying after the given time.
+  /// No target received any part of the request; the caller may retry after
+  /// the given time.
   Wait,
 };
 
-/// Why a request was not run or its outcome is unknown.
+/// Why a request was not run, or why its outcome is unknown.
 enum class Reason : std::uint8_t {
   None,
   NotOwner,
--- a/include/balsamwheel/detail/core/safety_rules.h
+++ b/include/balsamwheel/detail/core/safety_rules.h
@@ -1,6 +1,6 @@
-// The rules that keep a single owner and at most one run. Each is checked at
-// one place of its own; a build may disable one to prove that the tests
-// notice.
+// Safety rules that guarantee a single owner per shard and at most one run per
+// non-idempotent request. Each rule is checked in exactly one place; a build
+// may disable one of them to verify that the tests detect its absence.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +8,28 @@
 namespace balsamwheel {
 
 enum class Rule : std::uint8_t {
-  /// A permit needs a lease that still holds.
+  /// A permit requires a lease that has not expired.
   LeaseCheck = 1,
-  /// A permit needs the newest known assignment to name this session.
+  /// A permit requires that the newest known assignment of the shard names this
+  /// session.
   EpochCompare = 2,
-  /// A taker waits until the last renewal it saw has surely lapsed.
+  /// A daemon takes over from a member only after the lease granted by the
+  /// member's last observed renewal has certainly expired.
   TakerWait = 3,
-  /// A commit without an answer counts only after a re-read shows its id.
+  /// A commit without a reply counts as applied only after a re-read shows its
+  /// write id.
   WriteIdSettling = 4,
   /// A non-idempotent request id is started at most once.
   AtMostOnceRecord = 5,
-  /// The configuration never falls to a lower version.
+  /// A lower configuration version is never applied.
   MonotoneVersion = 6,
   /// A new owner serves only after the former owner has yielded.
   YieldWait = 7,
-  /// A witness that gave a promise grants no extension.
+  /// A witness grants no lease extension after it promised not to.
   WitnessPromise = 8,
 };
 
-/// Whether a rule is in force; true unless the build defines
+/// Whether a rule is enforced; true unless the build defines
 /// BALSAMWHEEL_DISABLED_RULE as the rule's number.
 template <Rule R> constexpr bool enforced() {
 #ifdef BALSAMWHEEL_DISABLED_RULE
--- a/include/balsamwheel/detail/core/time.h
+++ b/include/balsamwheel/detail/core/time.h
@@ -1,13 +1,13 @@
-// Time as the state machines see it: injected, monotone, running through
-// suspension of the machine.
+// Time types of the state machines: a monotonic clock that includes suspension
+// of the machine; the current time is always passed in.
 #pragma once
 
 #include <chrono>
 
 namespace balsamwheel {
 
-/// Tag for times since boot, suspension included (CLOCK_BOOTTIME). It has no
-/// now(): the caller of a state machine passes the time in.
+/// Clock tag for times since boot, including suspension (CLOCK_BOOTTIME). It
+/// has no now(): the caller of a state machine passes in the current time.
 struct BootClock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
--- a/include/balsamwheel/detail/node/context.h
+++ b/include/balsamwheel/detail/node/context.h
@@ -1,4 +1,5 @@
-// What the parts of a node share: the coordinator, the effects, the loopback.
+// State shared by the parts of a node: the coordinator, the pending effects and
+// the loopback queue.
 #pragma once
 
 #include "balsamwheel/detail/coordination/coordinator.h"
@@ -17,14 +18,15 @@
 
 namespace balsamwheel {
 
-/// Lives as long as the node. Messages to the node's own address are queued
-/// and handled before the current call returns.
+/// Shared state; lives as long as the node. Messages to the node's own address
+/// go to a loopback queue, which the node empties before the current call
+/// returns.
 class NodeContext {
 public:
   NodeContext(CoordinatorOptions Options, std::uint64_t Seed)
       : m_Self(Options.m_Peer), m_Coordinator(std::move(Options), Seed),
         m_RandomState(mixHash(Seed, RandomSalt)) {
-    m_StreamRun = random() << 32U;
+    m_StreamPrefix = random() << 32U;
   }
 
   Coordinator &coordinator() { return m_Coordinator; }
@@ -45,7 +47,7 @@
 
   const Effects &effects() const { return m_Effects; }
 
-  /// Moves the coordinator's effects to the node's own.
+  /// Moves the coordinator's pending effects to those of the node.
   void collectEffects() {
     for (Effect &Value : m_Coordinator.takeEffects())
       m_Effects.push_back(std::move(Value));
@@ -56,18 +58,19 @@
     return std::exchange(m_Effects, {});
   }
 
-  /// A new stream id, unique over all runs of all daemons.
-  std::uint64_t nextStream() { return m_StreamRun | ++m_StreamCounter; }
+  /// Returns a new stream id. Its upper 32 bits are random per run, so that ids
+  /// differ between all runs of all daemons.
+  std::uint64_t nextStream() { return m_StreamPrefix | ++m_StreamCounter; }
 
-  /// The caller's request behind a stream to this daemon itself.
+  /// The caller's request for each stream sent to this daemon itself.
   std::unordered_map<std::uint64_t, RequestHandle> &localRequests() {
     return m_LocalRequests;
   }
 
-  /// Remembers the session of the moment as one of this run's.
-  void noteSession() { m_OwnSessions.insert(m_Coordinator.session()); }
+  /// Records the current session as one of this run.
+  void recordSession() { m_OwnSessions.insert(m_Coordinator.session()); }
 
-  /// Whether a session is this run's, now or earlier.
+  /// Whether this run has or had this session.
   bool isOwnSession(SessionId Session) const {
     return m_OwnSessions.contains(Session);
   }
@@ -77,11 +80,12 @@
     return m_RandomState;
   }
 
-  /// Null when the service is unknown; valid while \p Held lives.
+  /// Returns null if the service is unknown. The result is valid as long as
+  /// \p KeepAlive, which is set to the configuration that owns it.
   const Service *findService(const ServiceName &Name,
-                             std::shared_ptr<const Config> &Held) const {
-    Held = m_Coordinator.config();
-    return Held ? Held->m_Manifest.findService(Name) : nullptr;
+                             std::shared_ptr<const Config> &KeepAlive) const {
+    KeepAlive = m_Coordinator.config();
+    return KeepAlive ? KeepAlive->m_Manifest.findService(Name) : nullptr;
   }
 
 private:
@@ -94,8 +98,8 @@
   std::unordered_map<std::uint64_t, RequestHandle> m_LocalRequests;
   std::unordered_set<SessionId> m_OwnSessions;
   std::uint64_t m_RandomState;
-  /// Upper half of every stream id of this run.
-  std::uint64_t m_StreamRun = 0;
+  /// Upper 32 bits of every stream id of this run.
+  std::uint64_t m_StreamPrefix = 0;
   std::uint32_t m_StreamCounter = 0;
 };
 
--- a/include/balsamwheel/detail/node/effects.h
+++ b/include/balsamwheel/detail/node/effects.h
@@ -1,4 +1,5 @@
-// What a node asks its surroundings to do. The node itself does no I/O.
+// Effects: the actions that a node requests from its host. The node itself
+// performs no I/O.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -13,7 +14,8 @@
 
 namespace balsamwheel {
 
-/// Send a message to a daemon. May be lost, late, doubled or reordered.
+/// Send a message to a daemon. It may be lost, delayed, duplicated or
+/// reordered.
 struct SendControl {
   PeerAddress m_To;
   ControlMessage m_Message;
@@ -24,20 +26,20 @@
   RequestMessage m_Message;
 };
 
-/// Read rows and pass the reply with the same ticket.
+/// Read rows from the table; the host passes on the reply with the same ticket.
 struct ReadTable {
   TableTicket m_Ticket;
   TableRead m_Read;
 };
 
-/// Commit a transaction and pass the reply with the same ticket.
+/// Commit a transaction; the host passes on the reply with the same ticket.
 struct CommitTable {
   TableTicket m_Ticket;
   Transaction m_Transaction;
 };
 
-/// Send a request to the local target. The surroundings must end the order,
-/// and report it, at \c m_Deadline at the latest.
+/// Send a request to the local target. The host must end the order and report
+/// its end by \c m_Deadline.
 struct StartOrder {
   OrderId m_Order;
   RequestHandle m_Request;
@@ -49,29 +51,30 @@
   TimePoint m_Deadline;
 };
 
-/// Abort an order. Its end is still reported.
+/// Abort an order. The host still reports its end.
 struct CancelOrder {
   OrderId m_Order;
 };
 
-/// The final answer to a caller that entered at this daemon.
+/// Send the final answer to a caller whose request this daemon received.
 struct AnswerCaller {
   RequestHandle m_Request;
   Outcome m_Outcome = Outcome::Unknown;
   Reason m_Reason = Reason::None;
   Duration m_RetryAfter{0};
-  /// "host:port" where the caller may go straight next time; may be empty.
+  /// "host:port" that the caller may contact directly next time; may be empty.
   std::string m_OwnerHint;
   HttpAnswer m_Http;
 };
 
-/// Tell the local target which epoch it serves a shard under.
+/// Inform the local target of the epoch under which it serves a shard.
 struct GrantTarget {
   ShardRef m_Shard;
   Epoch m_Epoch;
 };
 
-/// The connection to a daemon is silent: close it and open a new one.
+/// Close the connection to a daemon, which has stopped answering, and open a
+/// new one.
 struct ResetPeer {
   PeerAddress m_Peer;
 };
@@ -83,15 +86,16 @@
 
 /// How an order ended.
 enum class OrderEnd : std::uint8_t {
-  /// The whole answer is here.
+  /// The complete answer was received.
   Answered,
-  /// The target refused without running it, and is trusted to say so.
+  /// The target refused the request without running it; the target is trusted
+  /// in this.
   Shed,
-  /// No byte of the order was sent.
+  /// No byte of the request was sent.
   NotSent,
-  /// Sent, but no whole answer came.
+  /// The request was sent, but no complete answer was received.
   Failed,
-  /// Ended at the deadline or by CancelOrder after bytes were sent.
+  /// Ended by the deadline or by CancelOrder after bytes had been sent.
   Aborted,
 };
 
--- a/include/balsamwheel/detail/node/entrance.h
+++ b/include/balsamwheel/detail/node/entrance.h
@@ -1,5 +1,5 @@
-// The caller's side of a request: routing, retries, hedges, silent
-// connections, and exactly one answer.
+// The receiving side of callers' requests: routing, retries, hedged requests,
+// recovery from unresponsive connections, and exactly one answer per request.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -22,12 +22,16 @@
 
 namespace balsamwheel {
 
-/// Brings callers' requests to an executor, the local one included, and
-/// answers each caller once.
+/// Forwards callers' requests to an executor, local or remote, and answers each
+/// caller exactly once.
 ///
-/// Invariants: a non-idempotent request has at most one forward whose fate is
-/// open; NotRun is answered only when every forward of the request is proven
-/// not to run, and, for a later attempt, when the earlier ones are cleared.
+/// A retry of a non-idempotent request is cleared before it is forwarded: every
+/// daemon that may have run an earlier attempt confirms that it did not, and
+/// refuses earlier attempts from then on.
+///
+/// Invariants: a non-idempotent request has at most one forward whose outcome
+/// is open; NotRun is answered only if every forward of the request is proven
+/// not to run and, for a later attempt, the earlier attempts are cleared.
 class Entrance {
 public:
   Entrance(NodeContext &Context, PeerWatch &Watch, const NodeOptions &Options,
@@ -44,48 +48,51 @@
   void onPeerLost(const PeerAddress &Peer, TimePoint Now);
   void onTick(TimePoint Now);
   TimePoint nextWake() const;
-  /// Tells that the node was called at \p Now, to notice suspensions.
-  void noteTime(TimePoint Now);
+  /// Records a call of the node at \p Now; a long gap since the previous call
+  /// counts as a suspension of the process.
+  void detectSuspension(TimePoint Now);
 
   std::size_t openRequests() const { return m_Requests.size(); }
 
 private:
-  /// A forward with a receipt is looked at after this time.
-  static constexpr Duration LongSilence = std::chrono::milliseconds(500);
-  static constexpr Duration RouteRetryAfter = std::chrono::milliseconds(50);
+  /// Delay before a forward with a receipt but without a reply is checked.
+  static constexpr Duration ReceiptCheckDelay = std::chrono::milliseconds(500);
+  /// Sent to the caller when a first attempt could not be cleared.
+  static constexpr Duration UnclearedRetryAfter = std::chrono::milliseconds(50);
 
-  enum class LegKind : std::uint8_t {
+  enum class ExchangeKind : std::uint8_t {
     Forward,
-    /// Asks for the fate of a forward whose connection went silent.
-    Fate,
-    /// Clears a retry with a daemon that may have run an earlier attempt.
-    Clear
+    /// Asks for the outcome of a forward whose connection is unresponsive.
+    ForwardOutcome,
+    /// Asks a daemon that may have run an earlier attempt to clear a retry.
+    RetryClearance
   };
 
-  /// One exchange with a daemon. Open until its reply.
-  struct Leg {
-    LegKind m_Kind = LegKind::Forward;
+  /// A message to a daemon that expects a reply; open until the reply arrives.
+  struct PeerExchange {
+    ExchangeKind m_Kind = ExchangeKind::Forward;
     std::uint64_t m_Stream = 0;
     SessionId m_Session;
     PeerAddress m_Peer;
     TimePoint m_SentAt;
-    bool m_Receipt = false;
-    /// The forward that a Fate leg asks for.
+    bool m_HasReceipt = false;
+    /// For ForwardOutcome: stream of the forward that is asked about.
     std::uint64_t m_Forward = 0;
-    /// When its silence is looked at; max while a Fate leg does that.
+    /// When to act on a missing reply; max for an exchange with this daemon
+    /// itself, and for a forward while a ForwardOutcome exchange asks about it.
     TimePoint m_CheckAt;
-    Duration m_Patience{0};
-    /// Nonce of the probe sent for it, 0 before.
-    std::uint64_t m_Probe = 0;
+    Duration m_ReplyTimeout{0};
+    /// Nonce of the probe sent for this exchange; 0 if none is pending.
+    std::uint64_t m_ProbeNonce = 0;
   };
 
-  /// A daemon that refuses earlier attempts from now on.
+  /// Confirmation of a daemon that it refuses earlier attempts from now on.
   struct Clearance {
     std::uint64_t m_Query = 0;
     Epoch m_Epoch;
   };
 
-  /// Where a forward goes.
+  /// The receiver of a forward.
   struct Destination {
     SessionId m_Session;
     PeerAddress m_Peer;
@@ -93,84 +100,91 @@
   };
 
   struct Request {
-    IncomingRequest m_In;
+    IncomingRequest m_Incoming;
     TimePoint m_Received;
-    /// When the first attempt that may have run was sent, at the latest.
-    TimePoint m_FirstAt;
+    /// Lower bound of the time at which the caller sent its first attempt.
+    TimePoint m_EarliestFirstSend;
     bool m_Keyed = false;
-    std::vector<Leg> m_Legs;
+    std::vector<PeerExchange> m_Exchanges;
     std::vector<SessionId> m_Avoid;
-    /// Attempts that reached an executor with room to refuse.
+    /// Retries after a forward that an executor refused or failed; limited by
+    /// the retry budget.
     std::uint32_t m_Retries = 0;
-    /// Attempts that found no owner.
+    /// Retries because no owner was available.
     std::uint32_t m_RouteRetries = 0;
     /// An idempotent forward ended without proof that it did not run.
-    bool m_MaybeRan = false;
-    /// Must be cleared before the next forward.
+    bool m_MayHaveRun = false;
+    /// The request must be cleared before it is forwarded again.
     bool m_MustClear = false;
-    /// Every daemon that may have run an earlier attempt refuses it now.
+    /// Every daemon that may have run an earlier attempt refuses it from now
+    /// on.
     bool m_Cleared = false;
     std::unordered_map<SessionId, Clearance> m_Clearances;
-    /// Stands for the sessions that the last clearing asked.
+    /// Digest of the sessions that the last clearing asked.
     std::uint64_t m_Asked = 0;
-    std::optional<Destination> m_First;
-    /// What the last reply said about the owner.
+    std::optional<Destination> m_FirstDestination;
+    /// The owner as reported by the last reply.
     std::optional<Destination> m_Redirect;
-    TimePoint m_NextTry = TimePoint::max();
+    TimePoint m_RetryAt = TimePoint::max();
     TimePoint m_HedgeAt = TimePoint::max();
-    TimePoint m_Wake = TimePoint::max();
+    TimePoint m_WakeAt = TimePoint::max();
   };
 
-  struct Verdict {
+  struct RequestResult {
     Outcome m_Outcome = Outcome::Unknown;
     Reason m_Reason = Reason::None;
     Duration m_RetryAfter{0};
   };
 
   Request *find(RequestHandle Handle);
-  static bool mayHaveRun(const Request &Value);
+  static bool mayHaveRun(const Request &Pending);
   void process(RequestHandle Handle, TimePoint Now);
-  void reschedule(RequestHandle Handle, Request &Value);
+  void reschedule(RequestHandle Handle, Request &Pending);
 
   void dispatch(RequestHandle Handle, TimePoint Now);
-  void dispatchKeyed(RequestHandle Handle, Request &Value, TimePoint Now);
-  void dispatchAny(RequestHandle Handle, Request &Value, TimePoint Now);
-  std::optional<Destination> ownerOf(const Request &Value) const;
-  std::vector<SessionId> candidatesFor(const Request &Value) const;
-  void forward(RequestHandle Handle, Request &Value, const Destination &To,
+  void dispatchKeyed(RequestHandle Handle, Request &Pending, TimePoint Now);
+  void dispatchUnkeyed(RequestHandle Handle, Request &Pending, TimePoint Now);
+  std::optional<Destination> ownerOf(const Request &Pending) const;
+  std::vector<SessionId> candidatesFor(const Request &Pending) const;
+  void forward(RequestHandle Handle, Request &Pending, const Destination &To,
                TimePoint Now);
-  void hedge(RequestHandle Handle, Request &Value, TimePoint Now);
+  void hedge(RequestHandle Handle, Request &Pending, TimePoint Now);
 
-  void clearKeyed(RequestHandle Handle, Request &Value, const Destination &To,
+  void clearKeyed(RequestHandle Handle, Request &Pending, const Destination &To,
                   TimePoint Now);
-  /// The same for equal sets of sessions, in any order.
-  static std::uint64_t digestOf(const std::vector<Destination> &Sessions);
-  void clearAny(RequestHandle Handle, Request &Value, TimePoint Now);
-  void sendClear(RequestHandle Handle, Request &Value, const Destination &To,
-                 TimePoint Now);
-  void onCleared(RequestHandle Handle, Request &Value, const Leg &Asked,
-                 const ForwardReply &Reply, TimePoint Now);
-  void notCleared(RequestHandle Handle, Request &Value, TimePoint Now);
-  bool covers(const Request &Value, Duration MemoryAge, TimePoint Now) const;
-
-  void checkLeg(RequestHandle Handle, Request &Value, std::size_t Index,
+  /// Returns a digest of a set of sessions, independent of their order.
+  static std::uint64_t digestSessions(const std::vector<Destination> &Sessions);
+  void clearUnkeyed(RequestHandle Handle, Request &Pending, TimePoint Now);
+  void sendClearingQuery(RequestHandle Handle, Request &Pending,
+                         const Destination &To, TimePoint Now);
+  void onClearingReply(RequestHandle Handle, Request &Pending,
+                       const PeerExchange &Asked, const ForwardReply &Reply,
+                       TimePoint Now);
+  void finishUncleared(RequestHandle Handle, Request &Pending, TimePoint Now);
+  bool memoryCovers(const Request &Pending, Duration MemoryAge,
+                    TimePoint Now) const;
+
+  void checkExchange(RequestHandle Handle, Request &Pending, std::size_t Index,
+                     TimePoint Now);
+  void recoverExchange(RequestHandle Handle, Request &Pending,
+                       std::size_t Index, TimePoint Now);
+  PeerExchange &openExchange(RequestHandle Handle, Request &Pending,
+                             ExchangeKind Kind, const Destination &To,
+                             TimePoint Now);
+  PeerExchange closeExchange(Request &Pending, std::size_t Index);
+
+  void onNotRun(RequestHandle Handle, Request &Pending,
+                const PeerExchange &Ended, const ForwardReply &Reply,
                 TimePoint Now);
-  void recover(RequestHandle Handle, Request &Value, std::size_t Index,
-               TimePoint Now);
-  Leg &openLeg(RequestHandle Handle, Request &Value, LegKind Kind,
-               const Destination &To, TimePoint Now);
-  Leg closeLeg(Request &Value, std::size_t Index);
-
-  void onNotRun(RequestHandle Handle, Request &Value, const Leg &Ended,
-                const ForwardReply &Reply, TimePoint Now);
-  void onUnknown(RequestHandle Handle, Request &Value,
+  void onUnknown(RequestHandle Handle, Request &Pending,
                  const ForwardReply &Reply, TimePoint Now);
-  /// Tries again for want of an owner; gives up after a while.
-  void retryRoute(RequestHandle Handle, Request &Value, Verdict Last,
-                  TimePoint Now);
-  void retryTarget(RequestHandle Handle, Request &Value, Verdict Last,
-                   TimePoint Now);
-  void finish(RequestHandle Handle, Verdict Result, TimePoint Now,
+  /// Schedules another try because no owner is available; answers Wait once
+  /// MaxOwnerWait has passed.
+  void retryRouting(RequestHandle Handle, Request &Pending, RequestResult Last,
+                    TimePoint Now);
+  void retryForward(RequestHandle Handle, Request &Pending, RequestResult Last,
+                    TimePoint Now);
+  void finish(RequestHandle Handle, RequestResult Result, TimePoint Now,
               HttpAnswer Http = {}, SessionId Runner = SessionId());
 
   NodeContext &m_Context;
@@ -181,12 +195,12 @@
   MemberHistory m_History;
   std::unordered_map<RequestHandle, Request> m_Requests;
   std::unordered_map<std::uint64_t, RequestHandle> m_Streams;
-  std::set<std::pair<TimePoint, RequestHandle>> m_Wakes;
+  std::set<std::pair<TimePoint, RequestHandle>> m_WakeTimes;
   TimePoint m_LastCall = TimePoint::min();
-  TimePoint m_HistoryAt = TimePoint::min();
-  /// Requests read until then may have waited since before a suspension.
-  TimePoint m_SuspectUntil = TimePoint::min();
-  Duration m_SuspectAge{0};
+  TimePoint m_HistoryUpdateAt = TimePoint::min();
+  /// Requests read until then may have been delayed by a suspension.
+  TimePoint m_PossiblyDelayedUntil = TimePoint::min();
+  Duration m_PossibleDelay{0};
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/node/executor.h
+++ b/include/balsamwheel/detail/node/executor.h
@@ -1,4 +1,5 @@
-// The owner's side of a request: at most once, admission, the order itself.
+// The executing side of a request: at-most-once records, admission, and the
+// order to the local target.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -18,14 +19,14 @@
 
 namespace balsamwheel {
 
-/// Stated by a daemon that never forgot a request.
+/// Memory age reported by a daemon that has not evicted any record.
 inline constexpr Duration UnlimitedMemory = std::chrono::hours(24 * 365);
 
-/// Runs forwards, from other daemons and from the local entrance alike, at the
-/// local target.
+/// Runs forwarded requests, from other daemons and from the local entrance, at
+/// the local target.
 ///
-/// Invariants: a job is in exactly one stage; each StartOrder follows a permit
-/// granted at the same moment; a stream is taken at most once; NotRun is
+/// Invariants: a job is in exactly one stage; each StartOrder requires a permit
+/// granted in the same call; a stream is accepted at most once; NotRun is
 /// replied only for a stream that has not started and never will.
 class Executor {
 public:
@@ -39,7 +40,7 @@
   void onQuery(const OutcomeQuery &Query, const PeerAddress &From,
                TimePoint Now);
   void onCancel(std::uint64_t Stream, const PeerAddress &From, TimePoint Now);
-  void onAnswering(OrderId Order, HttpAnswer Head);
+  void onAnswerHead(OrderId Order, HttpAnswer Head);
   void onOrderEnd(const OrderReport &Report, TimePoint Now);
   void onTargetReady(const ServiceName &Service, std::uint32_t Slots,
                      TimePoint Now);
@@ -54,14 +55,14 @@
 
 private:
   enum class Stage : std::uint8_t {
-    /// Waits for the former owner of its key.
+    /// Waits for the handover of its key.
     Parked,
-    /// Waits in the gate.
+    /// Waits in the queue of the admission gate.
     Queued,
     Running
   };
 
-  /// Lives from the acceptance of a forward to the end of its order.
+  /// A forwarded request, from its acceptance to the end of its order.
   struct Job {
     PeerAddress m_From;
     std::uint64_t m_Stream = 0;
@@ -71,63 +72,71 @@
     /// None for a service that is not divided by key.
     std::optional<ShardRef> m_Shard;
     Urgency m_Urgency = Urgency::Interactive;
-    /// Epoch the sender expects.
-    Epoch m_Expected;
+    /// Epoch of the key's assignment according to the sender.
+    Epoch m_ExpectedEpoch;
+    /// Epoch under which the order was started.
     Epoch m_Epoch;
     TimePoint m_Arrived;
     TimePoint m_Deadline;
     TimePoint m_NextTry;
     Stage m_Stage = Stage::Parked;
     OrderId m_Order;
-    /// The head of a long answer was passed on.
-    bool m_Answering = false;
-    /// Its order was told to end; how long it took says nothing.
+    /// The head of a long answer has been sent to the entrance.
+    bool m_AnswerHeadSent = false;
+    /// Its order was cancelled, so its latency is not a valid sample.
     bool m_Cancelled = false;
   };
 
   using JobHandle = RequestHandle;
 
-  /// What one reply says besides its stream.
-  struct Verdict {
+  /// The result that a reply carries.
+  struct RequestResult {
     Outcome m_Outcome = Outcome::Unknown;
     Reason m_Reason = Reason::None;
     Duration m_RetryAfter{0};
   };
 
-  /// Frees the slot of an ended order and shows the gate how it went.
-  void teachGate(const Job &Value, const OrderReport &Report, TimePoint Now);
-  /// Fills in what the configuration says; false for an unknown service.
-  bool classify(Job &Value, TimePoint Now) const;
-  /// Checks a non-idempotent id; false when the forward was settled here.
-  bool admitId(Job &Value, std::uint64_t Query, TimePoint Now);
-  bool admitCleared(const OutcomeRecord &Record, const Job &Value,
-                    const Ballot &Asked);
+  /// Frees the slot of an ended order and reports its result to the gate.
+  void reportToGate(const Job &CurrentJob, const OrderReport &Report,
+                    TimePoint Now);
+  /// Fills in the fields that depend on the configuration.
+  ///
+  /// \returns false if the service is unknown.
+  bool classify(Job &CurrentJob, TimePoint Now) const;
+  /// Checks the record of a non-idempotent request id.
+  ///
+  /// \returns false if the request must not run; the sender then has its reply
+  /// or is waiting for the end of the running attempt.
+  bool admitRequestId(Job &CurrentJob, std::uint64_t Query, TimePoint Now);
+  bool admitClearedAttempt(const OutcomeRecord &Record, const Job &CurrentJob,
+                           const AttemptRank &Rank);
   void clearRetry(const OutcomeQuery &Query, const PeerAddress &From,
                   TimePoint Now);
-  void answerFate(const OutcomeQuery &Query, const PeerAddress &From,
-                  TimePoint Now);
+  void answerForwardQuery(const OutcomeQuery &Query, const PeerAddress &From,
+                          TimePoint Now);
   void replyRecord(const OutcomeRecord &Record, const PeerAddress &To,
                    std::uint64_t Stream, const RequestMeta &Meta);
   std::optional<ShardRef> shardFor(const RequestMeta &Meta) const;
   Duration memoryAge(const RequestMeta &Meta, TimePoint Now) const;
-  OutcomeRecord *recordOf(const RequestMeta &Meta);
+  OutcomeRecord *findRecord(const RequestMeta &Meta);
 
-  /// Whether the job may go to the target at this moment.
-  Permit permitFor(const Job &Value, TimePoint Now) const;
-  void tryJob(JobHandle Handle, TimePoint Now);
+  /// Whether the job may be sent to the target now.
+  Permit permitFor(const Job &CurrentJob, TimePoint Now) const;
+  void tryStartJob(JobHandle Handle, TimePoint Now);
   void startJob(JobHandle Handle, TimePoint Now);
-  /// Waits for the permit where that helps, else refuses.
+  /// Parks the job if its permit may be granted soon, otherwise refuses it.
   void parkOrRefuse(JobHandle Handle, const Permit &Denied, TimePoint Now);
   void drainQueue(TimePoint Now);
-  /// Ends a job that never started.
-  void refuse(JobHandle Handle, Verdict Result, TimePoint Now);
-  /// Replies to the sender and to all who wait for the same id.
-  void finish(JobHandle Handle, Verdict Result, const HttpAnswer &Http,
+  /// Ends a job that has not started.
+  void refuse(JobHandle Handle, RequestResult Result, TimePoint Now);
+  /// Ends a job: replies to the sender and to all waiters for the same id.
+  void finish(JobHandle Handle, RequestResult Result, const HttpAnswer &Http,
               TimePoint Now);
-  void settleRecord(const Job &Value, const Verdict &Result,
-                    const HttpAnswer &Http, TimePoint Now);
-  void reply(const PeerAddress &To, std::uint64_t Stream, const Verdict &Result,
-             HttpAnswer Http, const RequestMeta &Meta);
+  void completeRecord(const Job &CurrentJob, const RequestResult &Result,
+                      const HttpAnswer &Http, TimePoint Now);
+  void reply(const PeerAddress &To, std::uint64_t Stream,
+             const RequestResult &Result, HttpAnswer Http,
+             const RequestMeta &Meta);
   void sendReply(const PeerAddress &To, ForwardReply Reply,
                  const RequestMeta &Meta);
 
@@ -137,14 +146,14 @@
   ServiceName m_TargetService;
   std::unordered_map<JobHandle, Job> m_Jobs;
   std::unordered_map<OrderId, JobHandle> m_Orders;
-  /// Parked jobs by the time of their next try.
+  /// Parked jobs, ordered by the time of their next try.
   std::multimap<TimePoint, JobHandle> m_Parked;
-  /// Ends of jobs that wait.
+  /// Deadlines of all accepted jobs; ignored once a job runs.
   std::multimap<TimePoint, JobHandle> m_Deadlines;
   TimePoint m_QueueWake = TimePoint::max();
   Duration m_OutcomeMemory;
   OutcomeStore m_Outcomes;
-  ReplayWindow m_Replays;
+  ReplayWindow m_ReplayWindow;
   std::uint64_t m_LastHandle = 0;
   std::uint64_t m_LastOrder = 0;
 };
--- a/include/balsamwheel/detail/node/member_history.h
+++ b/include/balsamwheel/detail/node/member_history.h
@@ -1,4 +1,4 @@
-// Which daemons served a service, now and lately.
+// Records which members served a service recently.
 #pragma once
 
 #include "balsamwheel/detail/coordination/coordinator.h"
@@ -12,37 +12,42 @@
 
 namespace balsamwheel {
 
-/// Tells whether everyone who may have run a request can still be asked.
+/// Used to decide whether every member that may have run a request can still be
+/// asked for its outcome.
 class MemberHistory {
 public:
-  explicit MemberHistory(Duration Memory) : m_Memory(Memory) {}
+  /// \param Retention how long a member is remembered after it was last seen.
+  explicit MemberHistory(Duration Retention) : m_Retention(Retention) {}
 
-  /// Takes in the members of the moment. Complexity: linear.
+  /// Records the current members. Complexity: linear.
   void update(const std::vector<Member> &Members, TimePoint Now) {
-    if (!m_Since)
-      m_Since = Now;
+    if (!m_FirstUpdate)
+      m_FirstUpdate = Now;
     for (const Member &Each : Members)
       if (!Each.m_Service.value().empty())
         m_Seen.try_emplace(Each.m_Session, Each.m_Service, Now)
             .first->second.m_LastSeen = Now;
     std::erase_if(m_Seen, [&](const auto &Entry) {
-      return Entry.second.m_LastSeen + m_Memory < Now;
+      return Entry.second.m_LastSeen + m_Retention < Now;
     });
-    m_Updated = Now;
+    m_LastUpdate = Now;
   }
 
-  /// Whether no member of a service was lost since a time.
+  /// Whether every member that served a service at or after \p Since is still a
+  /// member. False if the history does not reach back that far.
+  /// Complexity: linear.
   bool completeSince(const ServiceName &Service, TimePoint Since) const {
-    if (!m_Since || *m_Since > Since || Since + m_Memory < m_Updated)
+    if (!m_FirstUpdate || *m_FirstUpdate > Since ||
+        Since + m_Retention < m_LastUpdate)
       return false;
     for (const auto &[Session, Entry] : m_Seen)
-      if (Entry.m_Service == Service && Entry.m_LastSeen < m_Updated &&
+      if (Entry.m_Service == Service && Entry.m_LastSeen < m_LastUpdate &&
           Entry.m_LastSeen >= Since)
         return false;
     return true;
   }
 
-  /// When a member was first seen; the latest time for an unknown one.
+  /// Returns when a member was first seen; TimePoint::max() if it is unknown.
   /// Complexity: constant on average.
   TimePoint firstSeen(const SessionId &Session) const {
     const auto It = m_Seen.find(Session);
@@ -50,8 +55,8 @@
   }
 
 private:
-  struct Sighting {
-    Sighting(ServiceName Service, TimePoint At)
+  struct SeenMember {
+    SeenMember(ServiceName Service, TimePoint At)
         : m_Service(std::move(Service)), m_FirstSeen(At), m_LastSeen(At) {}
 
     ServiceName m_Service;
@@ -59,10 +64,10 @@
     TimePoint m_LastSeen;
   };
 
-  Duration m_Memory;
-  std::optional<TimePoint> m_Since;
-  TimePoint m_Updated;
-  std::unordered_map<SessionId, Sighting> m_Seen;
+  Duration m_Retention;
+  std::optional<TimePoint> m_FirstUpdate;
+  TimePoint m_LastUpdate;
+  std::unordered_map<SessionId, SeenMember> m_Seen;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/node/node.h
+++ b/include/balsamwheel/detail/node/node.h
@@ -1,6 +1,6 @@
-// One daemon's decisions: coordination, request handling and load control
-// joined into one pure state machine. Everything that must hold is decided
-// here; the daemon and the tests drive the same class.
+// The state machine of one daemon: coordination, request handling and load
+// control. It decides everything on which the safety guarantees depend; the
+// daemon and the tests drive the same class.
 #pragma once
 
 #include "balsamwheel/detail/coordination/coordinator.h"
@@ -22,13 +22,13 @@
   RetryBudgetOptions m_Retry;
   /// How long the outcome of a non-idempotent request is remembered.
   Duration m_OutcomeMemory = std::chrono::seconds(120);
-  /// Most outcomes remembered.
+  /// Maximum number of outcomes remembered.
   std::size_t m_OutcomeLimit = 100'000;
-  /// No receipt of a forward within this time: probe the connection.
+  /// The connection is probed if no receipt of a forward arrives in this time.
   Duration m_ReceiptTimeout = std::chrono::milliseconds(50);
 };
 
-/// A request that entered at this daemon, classified and checked.
+/// A request that this daemon received from a caller, validated and classified.
 struct IncomingRequest {
   RequestHandle m_Handle;
   RequestMeta m_Meta;
@@ -37,7 +37,7 @@
   TimePoint m_Deadline;
 };
 
-/// How an order ended, as the target adapter saw it.
+/// The end of an order as reported by the target adapter.
 struct OrderReport {
   OrderId m_Order;
   OrderEnd m_End = OrderEnd::Failed;
@@ -54,10 +54,11 @@
   std::size_t m_RequestsOpen = 0;
 };
 
-/// Not thread-safe; performs no I/O and reads no clock.
+/// Not thread-safe; performs no I/O and reads no clock. Each call passes in the
+/// current time; the resulting effects are fetched with takeEffects().
 ///
 /// Invariants: each IncomingRequest gets exactly one AnswerCaller; each
-/// StartOrder is covered by a permit taken in the same call; a non-idempotent
+/// StartOrder is covered by a permit granted in the same call; a non-idempotent
 /// request id is started at most once.
 class Node {
 public:
@@ -71,17 +72,17 @@
   TimePoint nextWake() const;
 
   void onCallerRequest(IncomingRequest Request, TimePoint Now);
-  /// The caller closed its connection.
+  /// Called when the caller has closed its connection.
   void onCallerGone(RequestHandle Request, TimePoint Now);
   void onControl(const ControlMessage &Message, const PeerAddress &From,
                  TimePoint Now);
   void onRequest(RequestMessage Message, const PeerAddress &From,
                  TimePoint Now);
-  /// The transport gave up on a daemon's connection.
+  /// Called when the transport has lost the connection to a daemon.
   void onPeerLost(const PeerAddress &Peer, TimePoint Now);
   void onTableReply(TableTicket Ticket, const TableReply &Reply, TimePoint Now);
-  /// The head of a long answer is here; its body streams past the node. The
-  /// order still runs until onOrderEnd().
+  /// Called with the head of a long answer, whose body is streamed without
+  /// passing through the node. The order runs until onOrderEnd().
   void onOrderAnswering(OrderId Order, HttpAnswer Head, TimePoint Now);
   void onOrderEnd(OrderReport Report, TimePoint Now);
 
@@ -89,7 +90,7 @@
                      TimePoint Now);
   void onTargetLeaving(TimePoint Now);
   void beginShutdown(TimePoint Now);
-  /// Nothing is owned, waiting or running any more.
+  /// Whether the node owns no shard and has no waiting or running request.
   bool drained() const;
 
   const Coordinator &coordinator() const;
--- a/include/balsamwheel/detail/node/outcome_store.h
+++ b/include/balsamwheel/detail/node/outcome_store.h
@@ -1,4 +1,5 @@
-// What became of non-idempotent requests that this daemon ran or refused.
+// Stores the outcomes of non-idempotent requests that this daemon ran or
+// refused.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -15,88 +16,99 @@
 
 namespace balsamwheel {
 
-/// Orders the attempts of one request id; the higher one supersedes the lower.
-struct Ballot {
+/// Orders the attempts of one request id; a higher rank supersedes a lower one.
+struct AttemptRank {
   std::uint32_t m_Attempt = 1;
   /// Stream of the OutcomeQuery that cleared the attempt, 0 for the first.
   std::uint64_t m_Query = 0;
 
-  auto operator<=>(const Ballot &) const = default;
+  auto operator<=>(const AttemptRank &) const = default;
 };
 
 enum class RecordState : std::uint8_t {
-  /// Attempts below m_Ballot are refused; m_Ballot itself may run.
+  /// Attempts with a rank below m_Rank are refused; the one with m_Rank may
+  /// run.
   Cleared,
-  /// Accepted, no byte sent to the target.
+  /// Accepted, but no byte has been sent to the target.
   Pending,
   Running,
   Done,
   Unknown,
 };
 
-/// Who waits for the end of a request.
+/// A forward or query that waits for the end of a request.
 struct OutcomeWaiter {
   PeerAddress m_From;
-  /// Of the forward or the query to reply to.
+  /// Stream of the forward or query to reply to.
   std::uint64_t m_Stream = 0;
-  /// Set for an OutcomeQuery that is answered again when nothing ran.
-  bool m_Query = false;
-  OutcomeQuery m_Asked;
+  /// Set for an OutcomeQuery, which is evaluated again if the request did not
+  /// run.
+  bool m_IsQuery = false;
+  /// The query itself if m_IsQuery is set.
+  OutcomeQuery m_Message;
 };
 
 struct OutcomeRecord {
   RecordState m_State = RecordState::Pending;
-  Ballot m_Ballot;
-  /// The sets of sessions that attempts were cleared by: 0 for none yet.
+  AttemptRank m_Rank;
+  /// Digest of the set of sessions that last cleared an attempt; 0 if none did.
   std::uint64_t m_Asked = 0;
-  /// Attempts were cleared by different sets, so one of them may have run where
-  /// another did not ask.
-  bool m_AskedDiffer = false;
-  /// Epoch under which it was cleared or accepted.
+  /// Attempts were cleared by different sets of sessions, so one of them may
+  /// have run at a session that the clearing of another did not ask.
+  bool m_AskedSetsDiffer = false;
+  /// Epoch under which the attempt was cleared or accepted.
   Epoch m_Epoch;
   TimePoint m_Created;
   Reason m_Reason = Reason::None;
-  /// The answer of a Done request, if it was small enough to keep.
+  /// Whether m_Http holds the answer of a Done request; false for answers that
+  /// were streamed.
   bool m_HasAnswer = false;
   HttpAnswer m_Http;
   std::vector<OutcomeWaiter> m_Waiters;
 };
 
-/// Bounded by time and count.
+/// Records by service and request id, bounded by age and number.
 ///
-/// Invariant: every evicted record was created at forgottenUpTo() or before.
+/// Invariant: every evicted record was created at evictedUpTo() or before.
 /// Records that are Pending or Running are never evicted.
 class OutcomeStore {
 public:
-  OutcomeStore(Duration Memory, std::size_t Limit)
-      : m_Memory(Memory), m_Limit(Limit) {}
+  /// \param Retention how long a record is kept after its request completed.
+  /// \param Limit maximum number of completed records.
+  OutcomeStore(Duration Retention, std::size_t Limit)
+      : m_Retention(Retention), m_Limit(Limit) {}
 
-  /// Null when there is no record. Complexity: constant on average.
+  /// Returns null if there is no record. Complexity: constant on average.
   OutcomeRecord *find(const ServiceName &Service, const RequestId &Id);
   OutcomeRecord &insert(const ServiceName &Service, const RequestId &Id,
                         TimePoint Now);
   void erase(const ServiceName &Service, const RequestId &Id);
-  /// Tells that a record is neither Pending nor Running any more.
-  void settled(const ServiceName &Service, const RequestId &Id, TimePoint Now);
-  /// Evicts what is too old or too much.
+  /// Must be called when a record is no longer Pending or Running; starts its
+  /// retention period.
+  void markCompleted(const ServiceName &Service, const RequestId &Id,
+                     TimePoint Now);
+  /// Evicts completed records that exceed the retention period or the limit,
+  /// oldest first.
   void expire(TimePoint Now);
 
-  TimePoint forgottenUpTo() const { return m_ForgottenUpTo; }
+  /// Latest creation time of all evicted records; TimePoint::min() if there are
+  /// none.
+  TimePoint evictedUpTo() const { return m_EvictedUpTo; }
   std::size_t size() const { return m_Records.size(); }
 
 private:
-  struct Settled {
+  struct Completed {
     TimePoint m_At;
     std::string m_Key;
   };
 
-  void evict(const Settled &Oldest);
+  void evict(const Completed &Oldest);
 
-  Duration m_Memory;
+  Duration m_Retention;
   std::size_t m_Limit;
   std::unordered_map<std::string, OutcomeRecord> m_Records;
-  std::deque<Settled> m_Order;
-  TimePoint m_ForgottenUpTo = TimePoint::min();
+  std::deque<Completed> m_EvictionQueue;
+  TimePoint m_EvictedUpTo = TimePoint::min();
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/node/peer_watch.h
+++ b/include/balsamwheel/detail/node/peer_watch.h
@@ -1,4 +1,4 @@
-// Finds connections that went silent, by probes beside the traffic on them.
+// Detects unresponsive connections by probing peers to which messages are sent.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -13,48 +13,51 @@
 
 namespace balsamwheel {
 
-/// Probes peers and resets the connections that do not answer. Idle peers are
-/// never probed.
+/// Probes peers and resets connections on which no probe reply arrives. Idle
+/// peers are not probed.
 class PeerWatch {
 public:
   using OnReset = std::function<void(const PeerAddress &, TimePoint)>;
 
-  PeerWatch(NodeContext &Context, Duration Patience)
-      : m_Context(Context), m_Patience(Patience) {}
+  /// \param MinResetInterval minimum time between two resets of a connection.
+  PeerWatch(NodeContext &Context, Duration MinResetInterval)
+      : m_Context(Context), m_MinResetInterval(MinResetInterval) {}
 
-  /// Called for each connection that is reset.
+  /// Sets a callback that is called for each connection that is reset.
   void setOnReset(OnReset Handler) { m_OnReset = std::move(Handler); }
 
-  /// Sends a probe. \returns its nonce, never 0.
+  /// Sends a probe.
+  ///
+  /// \returns its nonce, never 0.
   std::uint64_t probe(const PeerAddress &Peer);
-  /// Whether the peer answered this probe or a later one.
+  /// Whether the peer has answered this probe or a later one.
   bool answered(const PeerAddress &Peer, std::uint64_t Nonce) const;
   void onProbeReply(const PeerAddress &From, std::uint64_t Nonce);
-  /// Resets the connection unless that was done within the patience.
+  /// Resets the connection unless it was reset within the minimum interval.
   void reset(const PeerAddress &Peer, TimePoint Now);
 
-  /// A message that expects a reaction was sent: checks the connection, at
-  /// most once in a while.
+  /// Called when a message without a receipt of its own was sent: probes the
+  /// connection, at most once per MinProbeInterval.
   void onSent(const PeerAddress &Peer, TimePoint Now);
   void onTick(TimePoint Now);
-  TimePoint nextWake() const { return m_Wake; }
+  TimePoint nextWake() const { return m_WakeAt; }
 
 private:
   struct Check {
     std::uint64_t m_Nonce = 0;
-    /// When the silence of the open check is judged, max for none.
-    TimePoint m_JudgeAt = TimePoint::max();
+    /// When the pending probe times out; max if none is pending.
+    TimePoint m_EvaluateAt = TimePoint::max();
     TimePoint m_NextAt = TimePoint::min();
   };
 
   NodeContext &m_Context;
-  Duration m_Patience;
+  Duration m_MinResetInterval;
   OnReset m_OnReset;
   std::uint64_t m_LastNonce = 0;
-  std::unordered_map<PeerAddress, std::uint64_t> m_Answered;
-  std::unordered_map<PeerAddress, TimePoint> m_Resets;
+  std::unordered_map<PeerAddress, std::uint64_t> m_HighestAnswered;
+  std::unordered_map<PeerAddress, TimePoint> m_LastResets;
   std::unordered_map<PeerAddress, Check> m_Checks;
-  TimePoint m_Wake = TimePoint::max();
+  TimePoint m_WakeAt = TimePoint::max();
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/wire/body.h
+++ b/include/balsamwheel/detail/wire/body.h
@@ -1,4 +1,4 @@
-// Messages between daemons that carry the rest of long bodies.
+// Messages between daemons that stream bodies too long for a single message.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,15 @@
 
 namespace balsamwheel {
 
-/// Bytes of a body that a daemon announced under \c m_Stream. Chunks of one
-/// stream are sent in order on one connection; when the connection is lost the
-/// stream has failed.
+/// A chunk of a body that a daemon announced under the stream id \c m_Stream.
+/// Chunks of one stream are sent in order on one connection; the stream fails
+/// when the connection is lost.
 struct BodyChunk {
   std::uint64_t m_Stream = 0;
-  /// Position of the first byte in the whole body.
+  /// Position of the chunk's first byte in the whole body.
   std::uint64_t m_Offset = 0;
   std::string m_Bytes;
-  /// No chunk follows. The body is whole unless m_Failed.
+  /// No chunk follows. The body is complete unless m_Failed is set.
   bool m_Last = false;
   bool m_Failed = false;
   /// XXH3 of the whole body, in the last chunk.
@@ -24,8 +24,8 @@
   bool operator==(const BodyChunk &) const = default;
 };
 
-/// Allows the sender to send this many bytes more. Sent by the receiver; the
-/// first credit starts the stream.
+/// Flow control: allows the sender to send \c m_Bytes more bytes. Sent by the
+/// receiver; the first credit starts the stream.
 struct BodyCredit {
   std::uint64_t m_Stream = 0;
   std::uint64_t m_Bytes = 0;
@@ -33,7 +33,7 @@
   bool operator==(const BodyCredit &) const = default;
 };
 
-/// The receiver wants no more of the stream.
+/// The receiver discards the rest of the stream; the sender stops.
 struct BodyCancel {
   std::uint64_t m_Stream = 0;
 
--- a/include/balsamwheel/detail/wire/control.h
+++ b/include/balsamwheel/detail/wire/control.h
@@ -1,4 +1,4 @@
-// Control messages between daemons: membership, leases, the map, handover.
+// Control messages between daemons: membership, leases, shard map, handover.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -12,42 +12,43 @@
 
 namespace balsamwheel {
 
-/// A member's sign of life, sent to the leader of its group. It is also the
-/// request to be admitted when the session is not yet in the group's row.
+/// Heartbeat of a member to the leader of its group. It also requests admission
+/// if the session is not yet in the group's row.
 struct Heartbeat {
   std::uint32_t m_Group = 0;
   SessionId m_Session;
-  /// Grows by one with each heartbeat of the session.
+  /// Increases by one with each heartbeat of the session.
   std::uint64_t m_Sequence = 0;
   ConfigVersion m_ConfigApplied;
   std::uint64_t m_MapSeen = 0;
-  /// JSON of the member's own entry in the row; only when it changed.
+  /// JSON of the member's own entry in the group row; empty if unchanged.
   std::string m_Entry;
 
   bool operator==(const Heartbeat &) const = default;
 };
 
-/// Tells a member which of its heartbeats stands in the table.
+/// Reports the last heartbeat of a member that is committed to the table.
 struct HeartbeatAck {
   std::uint32_t m_Group = 0;
   SessionId m_Session;
   std::uint64_t m_SequenceCommitted = 0;
   RowVersion m_GroupRow;
-  /// Version of the head row that the leader read last.
+  /// Version of the head row at the leader's last read.
   RowVersion m_Head;
   bool m_Expelled = false;
-  /// When the leader wants the next heartbeat, so that those of the whole
-  /// group share one write; 0 leaves it to the member.
+  /// Delay until the next heartbeat as requested by the leader, which aligns
+  /// the heartbeats of the whole group so that they share one write; 0 leaves
+  /// the time to the member.
   Duration m_NextBeatIn{0};
 
   bool operator==(const HeartbeatAck &) const = default;
 };
 
-/// Asks a witness for a short extension while the table cannot be reached.
+/// Asks a witness for a short lease extension while the table is unreachable.
 struct ExtendRequest {
   SessionId m_Session;
   std::uint64_t m_Sequence = 0;
-  /// The last sequence that the session knows to stand in the table.
+  /// The last sequence that the session knows to be committed.
   std::uint64_t m_SequenceCommitted = 0;
   std::uint32_t m_Group = 0;
   RowVersion m_GroupRow;
@@ -66,8 +67,8 @@
   bool operator==(const ExtendReply &) const = default;
 };
 
-/// Asks a witness to extend \c m_Subject no more while no sequence above
-/// \c m_Sequence of it stands in the table.
+/// Asks a witness to grant no further lease extensions to \c m_Subject until a
+/// sequence of it above \c m_Sequence is committed to the table.
 struct PromiseRequest {
   SessionId m_Subject;
   std::uint64_t m_Sequence = 0;
@@ -77,8 +78,8 @@
   bool operator==(const PromiseRequest &) const = default;
 };
 
-/// A promise. \c m_Promised is true once no extension by the witness is
-/// outstanding; until then the witness only grants no further one.
+/// Answers a PromiseRequest. The witness grants no further extension from now
+/// on; \c m_Promised is true once its earlier extensions have expired too.
 struct PromiseReply {
   SessionId m_Subject;
   SessionId m_Witness;
@@ -90,15 +91,15 @@
   bool operator==(const PromiseReply &) const = default;
 };
 
-/// Asks for the rows that changed since a version of the head row.
+/// Requests the rows that changed after a version of the head row.
 struct ChangesRequest {
   RowVersion m_Head;
 
   bool operator==(const ChangesRequest &) const = default;
 };
 
-/// Rows of the table as some daemon read them. Idempotent: a receiver keeps
-/// the higher version of each.
+/// Rows of the table as read by some daemon. Idempotent: a receiver keeps the
+/// higher version of each row.
 struct Changes {
   RowVersion m_Head;
   std::vector<Row> m_Rows;
@@ -106,13 +107,14 @@
   bool operator==(const Changes &) const = default;
 };
 
-/// The former owner stopped admitting requests for these shards.
+/// Sent by the former owner once it has stopped admitting requests for these
+/// shards.
 struct Yield {
   struct Item {
     ShardRef m_Shard;
     /// Epoch of the new assignment.
     Epoch m_Epoch;
-    /// Keys with orders still running at the former owner.
+    /// Keys that still have running orders at the former owner.
     std::vector<KeyHash> m_InFlight;
 
     bool operator==(const Item &) const = default;
@@ -124,7 +126,7 @@
   bool operator==(const Yield &) const = default;
 };
 
-/// The new owner asks again, or confirms what it received.
+/// Sent by a new owner that still waits for the Yield of these shards.
 struct YieldRequest {
   SessionId m_From;
   std::vector<ShardRef> m_Shards;
@@ -132,6 +134,7 @@
   bool operator==(const YieldRequest &) const = default;
 };
 
+/// Sent by the new owner to confirm that it received the Yield of these shards.
 struct YieldAck {
   SessionId m_From;
   std::vector<ShardRef> m_Shards;
@@ -139,7 +142,8 @@
   bool operator==(const YieldAck &) const = default;
 };
 
-/// The former owner finished its last order for a key it had listed.
+/// Sent by the former owner when its last order has ended for a key listed in
+/// Yield::Item::m_InFlight.
 struct KeyFinished {
   SessionId m_From;
   ShardRef m_Shard;
@@ -149,21 +153,21 @@
   bool operator==(const KeyFinished &) const = default;
 };
 
-/// Owners tell the planner what they settled and what load they carry.
+/// An owner's report to the planner about completed handovers and its load.
 struct OwnerReport {
   struct Load {
     ShardRef m_Shard;
-    /// Requests a second, smoothed.
+    /// Requests per second, smoothed.
     double m_Rate = 0;
 
     bool operator==(const Load &) const = default;
   };
   SessionId m_From;
-  /// Shards taken over completely: the former owner has no part left.
+  /// Shards whose handover is complete: no order of the former owner is left.
   std::vector<std::pair<ShardRef, Epoch>> m_Settled;
-  /// The shards with the most load.
+  /// The shards with the highest load.
   std::vector<Load> m_Hottest;
-  /// Requests a second over all shards.
+  /// Requests per second over all shards.
   double m_TotalRate = 0;
 
   bool operator==(const OwnerReport &) const = default;
--- a/include/balsamwheel/detail/wire/peer.h
+++ b/include/balsamwheel/detail/wire/peer.h
@@ -1,5 +1,5 @@
-// Everything that daemons send to each other, and the transport that carries
-// it.
+// The messages that daemons exchange, and the interface of the transport
+// between them.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -14,17 +14,17 @@
 
 using PeerMessage = std::variant<ControlMessage, RequestMessage, BodyMessage>;
 
-/// Called on the transport's thread. \c From is the sender's listening
-/// address, as it stated it when it connected.
+/// Callbacks of a transport, called on its thread. \c From is the listening
+/// address that the sender announced when it connected.
 struct PeerHandlers {
   std::function<void(const PeerAddress &From, PeerMessage Message)> m_OnMessage;
-  /// The connection to a daemon closed or could not be opened.
+  /// The connection to a daemon was closed or could not be opened.
   std::function<void(const PeerAddress &Peer)> m_OnLost;
 };
 
-/// What a transport between daemons offers. All calls may come from any
-/// thread. Messages may be lost when a connection breaks, and are never
-/// reported as delivered.
+/// Requirements on a transport between daemons. All functions may be called
+/// from any thread. Messages may be lost when a connection breaks; delivery is
+/// never confirmed.
 template <typename T>
 concept PeerTransport =
     requires(T Transport, const PeerAddress &To, PeerMessage Message) {
--- a/src/coordination/hash.cpp
+++ b/src/coordination/hash.cpp
@@ -1,4 +1,4 @@
-// Key hashing on top of XXH3.
+// Implements key hashing with XXH3.
 #include "balsamwheel/detail/core/hash.h"
 
 #define XXH_INLINE_ALL
@@ -13,8 +13,8 @@
 }
 
 std::uint64_t mixHash(std::uint64_t First, std::uint64_t Second) {
-  const std::array<std::uint64_t, 2> Both{First, Second};
-  return XXH3_64bits(Both.data(), sizeof(Both));
+  const std::array<std::uint64_t, 2> Values{First, Second};
+  return XXH3_64bits(Values.data(), sizeof(Values));
 }
 
 ShardIndex shardOf(KeyHash Key, std::uint32_t ShardCount) {
--- a/src/coordination/outcome.cpp
+++ b/src/coordination/outcome.cpp
@@ -1,4 +1,4 @@
-// Names of outcomes and reasons in answers to callers.
+// Maps outcomes and reasons to their names in answers to callers.
 #include "balsamwheel/detail/core/outcome.h"
 
 namespace balsamwheel {
--- a/src/node/entrance_clear.cpp
+++ b/src/node/entrance_clear.cpp
@@ -1,5 +1,6 @@
-// Clearing of retries: before a later attempt of a non-idempotent request may
-// run, every daemon that may have run an earlier one is asked.
+// Implements the clearing of retries: before a later attempt of a
+// non-idempotent request may run, every daemon that may have run an earlier one
+// is asked.
 #include "balsamwheel/detail/node/entrance.h"
 
 #include "balsamwheel/detail/core/hash.h"
@@ -11,12 +12,14 @@
 
 namespace {
 
-/// Allowance for clocks that run at different rates, as a divisor.
+/// The clocks of two daemons may differ in rate by up to 1/16: a memory age
+/// that another daemon reports is reduced by this fraction.
 constexpr int DriftDivisor = 16;
 
 } // namespace
 
-std::uint64_t Entrance::digestOf(const std::vector<Destination> &Sessions) {
+std::uint64_t
+Entrance::digestSessions(const std::vector<Destination> &Sessions) {
   std::vector<std::string> Names;
   Names.reserve(Sessions.size());
   for (const Destination &Each : Sessions)
@@ -28,81 +31,85 @@
   return hashKey(All).value();
 }
 
-bool Entrance::covers(const Request &Value, Duration MemoryAge,
-                      TimePoint Now) const {
-  const Duration Sure = MemoryAge - MemoryAge / DriftDivisor;
-  return Sure >= Now - Value.m_FirstAt;
+bool Entrance::memoryCovers(const Request &Pending, Duration MemoryAge,
+                            TimePoint Now) const {
+  const Duration GuaranteedAge = MemoryAge - MemoryAge / DriftDivisor;
+  return GuaranteedAge >= Now - Pending.m_EarliestFirstSend;
 }
 
-void Entrance::sendClear(RequestHandle Handle, Request &Value,
-                         const Destination &To, TimePoint Now) {
-  const Leg &Opened = openLeg(Handle, Value, LegKind::Clear, To, Now);
+void Entrance::sendClearingQuery(RequestHandle Handle, Request &Pending,
+                                 const Destination &To, TimePoint Now) {
+  const PeerExchange &Opened =
+      openExchange(Handle, Pending, ExchangeKind::RetryClearance, To, Now);
   OutcomeQuery Query;
   Query.m_Stream = Opened.m_Stream;
-  Query.m_Meta = Value.m_In.m_Meta;
+  Query.m_Meta = Pending.m_Incoming.m_Meta;
   Query.m_To = To.m_Session;
-  Query.m_Asked = Value.m_Asked;
+  Query.m_Asked = Pending.m_Asked;
   m_Context.send(To.m_Peer, std::move(Query));
 }
 
-void Entrance::clearKeyed(RequestHandle Handle, Request &Value,
+void Entrance::clearKeyed(RequestHandle Handle, Request &Pending,
                           const Destination &To, TimePoint Now) {
-  Value.m_Cleared = false;
-  Value.m_Clearances.clear();
-  sendClear(Handle, Value, To, Now);
-  reschedule(Handle, Value);
+  Pending.m_Cleared = false;
+  Pending.m_Clearances.clear();
+  sendClearingQuery(Handle, Pending, To, Now);
+  reschedule(Handle, Pending);
 }
 
-void Entrance::clearAny(RequestHandle Handle, Request &Value, TimePoint Now) {
-  Value.m_Clearances.clear();
+void Entrance::clearUnkeyed(RequestHandle Handle, Request &Pending,
+                            TimePoint Now) {
+  Pending.m_Clearances.clear();
   m_History.update(m_Context.coordinator().members(), Now);
-  if (!m_History.completeSince(Value.m_In.m_Meta.m_Service, Value.m_FirstAt)) {
-    notCleared(Handle, Value, Now);
+  if (!m_History.completeSince(Pending.m_Incoming.m_Meta.m_Service,
+                               Pending.m_EarliestFirstSend)) {
+    finishUncleared(Handle, Pending, Now);
     return;
   }
-  std::vector<Destination> Everyone;
+  std::vector<Destination> ServiceMembers;
   for (const Member &Each : m_Context.coordinator().members())
-    if (Each.m_Service == Value.m_In.m_Meta.m_Service)
-      Everyone.push_back({Each.m_Session, Each.m_Peer, Epoch()});
-  Value.m_Asked = digestOf(Everyone);
-  for (const Destination &To : Everyone)
-    sendClear(Handle, Value, To, Now);
-  if (Value.m_Legs.empty())
-    retryRoute(Handle, Value, {Outcome::Wait, Reason::NoOwner}, Now);
+    if (Each.m_Service == Pending.m_Incoming.m_Meta.m_Service)
+      ServiceMembers.push_back({Each.m_Session, Each.m_Peer, Epoch()});
+  Pending.m_Asked = digestSessions(ServiceMembers);
+  for (const Destination &To : ServiceMembers)
+    sendClearingQuery(Handle, Pending, To, Now);
+  if (Pending.m_Exchanges.empty())
+    retryRouting(Handle, Pending, {Outcome::Wait, Reason::NoOwner}, Now);
   else
-    reschedule(Handle, Value);
+    reschedule(Handle, Pending);
 }
 
-void Entrance::onCleared(RequestHandle Handle, Request &Value, const Leg &Asked,
-                         const ForwardReply &Reply, TimePoint Now) {
-  const bool Covered = covers(Value, Reply.m_MemoryAge, Now);
-  if (!Value.m_Keyed) {
+void Entrance::onClearingReply(RequestHandle Handle, Request &Pending,
+                               const PeerExchange &Asked,
+                               const ForwardReply &Reply, TimePoint Now) {
+  const bool Covered = memoryCovers(Pending, Reply.m_MemoryAge, Now);
+  if (!Pending.m_Keyed) {
     if (!Covered) {
-      notCleared(Handle, Value, Now);
+      finishUncleared(Handle, Pending, Now);
       return;
     }
-    Value.m_Clearances[Asked.m_Session] = {Asked.m_Stream, Epoch()};
-    if (!Value.m_Legs.empty()) {
-      reschedule(Handle, Value);
+    Pending.m_Clearances[Asked.m_Session] = {Asked.m_Stream, Epoch()};
+    if (!Pending.m_Exchanges.empty()) {
+      reschedule(Handle, Pending);
       return;
     }
-    Value.m_Cleared = true;
+    Pending.m_Cleared = true;
     dispatch(Handle, Now);
     return;
   }
-  const bool AskedFormer = !Value.m_Clearances.empty();
+  const bool AskedFormer = !Pending.m_Clearances.empty();
   if (!AskedFormer && Reply.m_Reason != Reason::None) {
     const Member *Owner = m_Context.coordinator().findMember(Reply.m_Owner);
     if (Owner != nullptr)
-      Value.m_Redirect =
+      Pending.m_Redirect =
           Destination{Reply.m_Owner, Owner->m_Peer, Reply.m_Epoch};
-    retryRoute(Handle, Value, {Outcome::Wait, Reply.m_Reason}, Now);
+    retryRouting(Handle, Pending, {Outcome::Wait, Reply.m_Reason}, Now);
     return;
   }
   if (!AskedFormer)
-    Value.m_Clearances[Asked.m_Session] = {Asked.m_Stream, Reply.m_Epoch};
+    Pending.m_Clearances[Asked.m_Session] = {Asked.m_Stream, Reply.m_Epoch};
   if (Covered) {
-    Value.m_Cleared = true;
+    Pending.m_Cleared = true;
     dispatch(Handle, Now);
     return;
   }
@@ -110,19 +117,22 @@
       AskedFormer ? nullptr
                   : m_Context.coordinator().findMember(Reply.m_Former);
   if (Former == nullptr) {
-    notCleared(Handle, Value, Now);
+    finishUncleared(Handle, Pending, Now);
     return;
   }
-  sendClear(Handle, Value, {Former->m_Session, Former->m_Peer, Epoch()}, Now);
-  reschedule(Handle, Value);
+  sendClearingQuery(Handle, Pending,
+                    {Former->m_Session, Former->m_Peer, Epoch()}, Now);
+  reschedule(Handle, Pending);
 }
 
-void Entrance::notCleared(RequestHandle Handle, Request &Value, TimePoint Now) {
-  // What this attempt sent is proven not to run; earlier ones are not.
-  const bool FirstAttempt = Value.m_In.m_Meta.m_Attempt <= 1;
+void Entrance::finishUncleared(RequestHandle Handle, Request &Pending,
+                               TimePoint Now) {
+  // All forwards of this attempt are proven not to run; earlier attempts may
+  // have run.
+  const bool FirstAttempt = Pending.m_Incoming.m_Meta.m_Attempt <= 1;
   if (FirstAttempt)
-    finish(Handle, {Outcome::Wait, Reason::HandoverPending, RouteRetryAfter},
-           Now);
+    finish(Handle,
+           {Outcome::Wait, Reason::HandoverPending, UnclearedRetryAfter}, Now);
   else
     finish(Handle, {Outcome::Unknown, Reason::MemoryLost}, Now);
 }
--- a/src/node/executor.cpp
+++ b/src/node/executor.cpp
@@ -1,4 +1,4 @@
-// Runs forwarded requests at the local target.
+// Implements the execution of forwarded requests at the local target.
 #include "balsamwheel/detail/node/executor.h"
 
 #include <algorithm>
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// How long a request waits for its key's handover.
-constexpr Duration HandoverPatience = std::chrono::milliseconds(500);
-constexpr Duration ParkDelay = std::chrono::milliseconds(10);
-/// How often waiting requests are offered the target again.
-constexpr Duration QueuePeriod = std::chrono::milliseconds(20);
+/// Maximum time that a request waits for the handover of its key.
+constexpr Duration MaxHandoverWait = std::chrono::milliseconds(500);
+/// Default interval between two tries of a parked request.
+constexpr Duration HandoverRetryDelay = std::chrono::milliseconds(10);
+/// Interval at which queued requests are checked for a free slot.
+constexpr Duration QueueCheckInterval = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -20,110 +21,118 @@
                          TimePoint Now) {
   if (!m_Context.isSelf(From))
     m_Context.send(From, ForwardReceipt{.m_Stream = Request.m_Stream});
-  if (!m_Replays.accept(Request.m_Stream))
+  if (!m_ReplayWindow.accept(Request.m_Stream))
     return;
-  Job Value;
-  Value.m_From = From;
-  Value.m_Stream = Request.m_Stream;
-  Value.m_Meta = std::move(Request.m_Meta);
-  Value.m_Http = std::move(Request.m_Http);
-  Value.m_Expected = Request.m_Epoch;
-  Value.m_Arrived = Now;
-  Value.m_Deadline = Now + Request.m_TimeLeft;
+  Job CurrentJob;
+  CurrentJob.m_From = From;
+  CurrentJob.m_Stream = Request.m_Stream;
+  CurrentJob.m_Meta = std::move(Request.m_Meta);
+  CurrentJob.m_Http = std::move(Request.m_Http);
+  CurrentJob.m_ExpectedEpoch = Request.m_Epoch;
+  CurrentJob.m_Arrived = Now;
+  CurrentJob.m_Deadline = Now + Request.m_TimeLeft;
   if (!m_Context.isOwnSession(Request.m_To)) {
-    // The run it was meant for may have received another copy of it.
-    reply(From, Value.m_Stream, {Outcome::Unknown, Reason::PeerLost}, {},
-          Value.m_Meta);
+    // The request is addressed to another run of this daemon, which may have
+    // received another copy of it.
+    reply(From, CurrentJob.m_Stream, {Outcome::Unknown, Reason::PeerLost}, {},
+          CurrentJob.m_Meta);
     return;
   }
   if (Request.m_To != m_Context.coordinator().session()) {
-    reply(From, Value.m_Stream, {Outcome::NotRun, Reason::NotOwner}, {},
-          Value.m_Meta);
+    reply(From, CurrentJob.m_Stream, {Outcome::NotRun, Reason::NotOwner}, {},
+          CurrentJob.m_Meta);
     return;
   }
-  if (!classify(Value, Now)) {
-    reply(From, Value.m_Stream, {Outcome::NotRun, Reason::UnknownService}, {},
-          Value.m_Meta);
+  if (!classify(CurrentJob, Now)) {
+    reply(From, CurrentJob.m_Stream, {Outcome::NotRun, Reason::UnknownService},
+          {}, CurrentJob.m_Meta);
     return;
   }
-  if (!Value.m_Meta.m_Idempotent && !admitId(Value, Request.m_Query, Now))
+  if (!CurrentJob.m_Meta.m_Idempotent &&
+      !admitRequestId(CurrentJob, Request.m_Query, Now))
     return;
   const JobHandle Handle(++m_LastHandle);
-  m_Deadlines.emplace(Value.m_Deadline, Handle);
-  m_Jobs.emplace(Handle, std::move(Value));
-  tryJob(Handle, Now);
+  m_Deadlines.emplace(CurrentJob.m_Deadline, Handle);
+  m_Jobs.emplace(Handle, std::move(CurrentJob));
+  tryStartJob(Handle, Now);
   drainQueue(Now);
 }
 
-bool Executor::classify(Job &Value, TimePoint Now) const {
-  std::shared_ptr<const Config> Held;
-  const Service *Known = m_Context.findService(Value.m_Meta.m_Service, Held);
-  if (Known == nullptr)
+bool Executor::classify(Job &CurrentJob, TimePoint Now) const {
+  std::shared_ptr<const Config> KeepAlive;
+  const Service *Found =
+      m_Context.findService(CurrentJob.m_Meta.m_Service, KeepAlive);
+  if (Found == nullptr)
     return false;
-  Value.m_Key = hashKey(Value.m_Meta.m_Key);
-  Value.m_Shard = shardFor(Value.m_Meta);
-  for (const RequestClass &Class : Known->m_Classes) {
-    if (Class.m_Name != Value.m_Meta.m_Class)
+  CurrentJob.m_Key = hashKey(CurrentJob.m_Meta.m_Key);
+  CurrentJob.m_Shard = shardFor(CurrentJob.m_Meta);
+  for (const RequestClass &Class : Found->m_Classes) {
+    if (Class.m_Name != CurrentJob.m_Meta.m_Class)
       continue;
-    Value.m_Urgency = Class.m_Urgency;
-    Value.m_Deadline = std::min(Value.m_Deadline, Now + Class.m_Deadline);
+    CurrentJob.m_Urgency = Class.m_Urgency;
+    CurrentJob.m_Deadline =
+        std::min(CurrentJob.m_Deadline, Now + Class.m_Deadline);
   }
   return true;
 }
 
 std::optional<ShardRef> Executor::shardFor(const RequestMeta &Meta) const {
-  std::shared_ptr<const Config> Held;
-  const Service *Known = m_Context.findService(Meta.m_Service, Held);
-  if (Known == nullptr || !Known->m_DividedByKey || Known->m_Shards == 0)
+  std::shared_ptr<const Config> KeepAlive;
+  const Service *Found = m_Context.findService(Meta.m_Service, KeepAlive);
+  if (Found == nullptr || !Found->m_DividedByKey || Found->m_Shards == 0)
     return std::nullopt;
   return ShardRef{.m_Service = Meta.m_Service,
-                  .m_Shard = shardOf(hashKey(Meta.m_Key), Known->m_Shards)};
+                  .m_Shard = shardOf(hashKey(Meta.m_Key), Found->m_Shards)};
 }
 
-Permit Executor::permitFor(const Job &Value, TimePoint Now) const {
+Permit Executor::permitFor(const Job &CurrentJob, TimePoint Now) const {
   const Coordinator &Source = m_Context.coordinator();
-  Permit Result = Source.permit(Value.m_Meta.m_Service, Value.m_Key, Now);
-  if (!Result.m_Granted || !Value.m_Shard || Value.m_Meta.m_Idempotent ||
-      Value.m_Stream == 0)
+  Permit Result =
+      Source.permit(CurrentJob.m_Meta.m_Service, CurrentJob.m_Key, Now);
+  if (!Result.m_Granted || !CurrentJob.m_Shard ||
+      CurrentJob.m_Meta.m_Idempotent || CurrentJob.m_Stream == 0)
     return Result;
-  // Beyond ownership, the memory of this shard must reach back to the arrival
-  // of the request, and both sides must mean the same assignment.
-  const std::optional<TimePoint> Since = Source.activeSince(*Value.m_Shard);
-  if (Value.m_Expected > Result.m_Epoch) {
+  // Ownership alone is not sufficient: the records of this shard must reach
+  // back to the arrival of the request, and the sender must have addressed the
+  // same assignment.
+  const std::optional<TimePoint> Since =
+      Source.activeSince(*CurrentJob.m_Shard);
+  if (CurrentJob.m_ExpectedEpoch > Result.m_Epoch) {
     Result.m_Granted = false;
     Result.m_Reason = Reason::HandoverPending;
-  } else if (Value.m_Expected < Result.m_Epoch || !Since ||
-             *Since > Value.m_Arrived) {
+  } else if (CurrentJob.m_ExpectedEpoch < Result.m_Epoch || !Since ||
+             *Since > CurrentJob.m_Arrived) {
     Result.m_Granted = false;
     Result.m_Reason = Reason::NotOwner;
   }
   return Result;
 }
 
-void Executor::tryJob(JobHandle Handle, TimePoint Now) {
-  Job &Value = m_Jobs.at(Handle);
-  if (Value.m_Deadline <= Now) {
+void Executor::tryStartJob(JobHandle Handle, TimePoint Now) {
+  Job &CurrentJob = m_Jobs.at(Handle);
+  if (CurrentJob.m_Deadline <= Now) {
     refuse(Handle, {Outcome::NotRun, Reason::DeadlinePassed}, Now);
     return;
   }
-  const bool Serves = m_Gate && Value.m_Meta.m_Service == m_TargetService;
-  if (!Serves) {
+  const bool ServedHere =
+      m_Gate && CurrentJob.m_Meta.m_Service == m_TargetService;
+  if (!ServedHere) {
     refuse(Handle, {Outcome::NotRun, Reason::NotOwner}, Now);
     return;
   }
-  const Permit Current = permitFor(Value, Now);
+  const Permit Current = permitFor(CurrentJob, Now);
   if (!Current.m_Granted) {
     parkOrRefuse(Handle, Current, Now);
     return;
   }
   const AdmissionDecision Decision =
-      m_Gate->offer(Handle, Value.m_Urgency, Value.m_Deadline, Now);
+      m_Gate->offer(Handle, CurrentJob.m_Urgency, CurrentJob.m_Deadline, Now);
   switch (Decision.m_Verdict) {
   case AdmissionVerdict::Run:
     startJob(Handle, Now);
     return;
   case AdmissionVerdict::Queued:
-    Value.m_Stage = Stage::Queued;
+    CurrentJob.m_Stage = Stage::Queued;
     return;
   case AdmissionVerdict::Refused:
     refuse(Handle, {Outcome::Wait, Reason::Overloaded, Decision.m_RetryAfter},
@@ -133,61 +142,63 @@
 }
 
 void Executor::startJob(JobHandle Handle, TimePoint Now) {
-  Job &Value = m_Jobs.at(Handle);
-  Permit Current = permitFor(Value, Now);
+  Job &CurrentJob = m_Jobs.at(Handle);
+  Permit Current = permitFor(CurrentJob, Now);
   if (!Current.m_Granted) {
-    m_Gate->released(Value.m_Urgency);
+    m_Gate->released(CurrentJob.m_Urgency);
     parkOrRefuse(Handle, Current, Now);
     return;
   }
-  TimePoint Deadline = Value.m_Deadline;
+  TimePoint Deadline = CurrentJob.m_Deadline;
   if (Current.m_OrderDeadline != TimePoint())
     Deadline = std::min(Deadline, Current.m_OrderDeadline);
   if (Deadline <= Now) {
-    m_Gate->released(Value.m_Urgency);
+    m_Gate->released(CurrentJob.m_Urgency);
     refuse(Handle, {Outcome::NotRun, Reason::LeaseExpired}, Now);
     return;
   }
-  Value.m_Stage = Stage::Running;
-  Value.m_Order = OrderId(++m_LastOrder);
-  Value.m_Epoch = Current.m_Epoch;
-  m_Orders.emplace(Value.m_Order, Handle);
-  if (Value.m_Shard) {
-    m_Context.coordinator().orderStarted(*Value.m_Shard, Value.m_Key,
-                                         Value.m_Epoch);
+  CurrentJob.m_Stage = Stage::Running;
+  CurrentJob.m_Order = OrderId(++m_LastOrder);
+  CurrentJob.m_Epoch = Current.m_Epoch;
+  m_Orders.emplace(CurrentJob.m_Order, Handle);
+  if (CurrentJob.m_Shard) {
+    m_Context.coordinator().orderStarted(*CurrentJob.m_Shard, CurrentJob.m_Key,
+                                         CurrentJob.m_Epoch);
   }
-  if (OutcomeRecord *Record = recordOf(Value.m_Meta);
-      Record != nullptr && !Value.m_Meta.m_Idempotent)
+  if (OutcomeRecord *Record = findRecord(CurrentJob.m_Meta);
+      Record != nullptr && !CurrentJob.m_Meta.m_Idempotent)
     Record->m_State = RecordState::Running;
   StartOrder Order;
-  Order.m_Order = Value.m_Order;
-  if (const auto It = m_Context.localRequests().find(Value.m_Stream);
-      m_Context.isSelf(Value.m_From) && It != m_Context.localRequests().end())
+  Order.m_Order = CurrentJob.m_Order;
+  if (const auto It = m_Context.localRequests().find(CurrentJob.m_Stream);
+      m_Context.isSelf(CurrentJob.m_From) &&
+      It != m_Context.localRequests().end())
     Order.m_Request = It->second;
-  Order.m_Meta = Value.m_Meta;
-  Order.m_Http = std::move(Value.m_Http);
-  if (Value.m_Shard)
-    Order.m_Shard = *Value.m_Shard;
-  Order.m_Epoch = Value.m_Epoch;
+  Order.m_Meta = CurrentJob.m_Meta;
+  Order.m_Http = std::move(CurrentJob.m_Http);
+  if (CurrentJob.m_Shard)
+    Order.m_Shard = *CurrentJob.m_Shard;
+  Order.m_Epoch = CurrentJob.m_Epoch;
   Order.m_Deadline = Deadline;
   m_Context.emit(std::move(Order));
 }
 
 void Executor::parkOrRefuse(JobHandle Handle, const Permit &Denied,
                             TimePoint Now) {
-  Job &Value = m_Jobs.at(Handle);
-  const bool Worthwhile =
+  Job &CurrentJob = m_Jobs.at(Handle);
+  const bool WorthWaiting =
       Denied.m_Reason == Reason::HandoverPending &&
-      Now < std::min(Value.m_Deadline, Value.m_Arrived + HandoverPatience);
-  if (!Worthwhile) {
+      Now < std::min(CurrentJob.m_Deadline,
+                     CurrentJob.m_Arrived + MaxHandoverWait);
+  if (!WorthWaiting) {
     refuse(Handle, {Outcome::NotRun, Denied.m_Reason, Denied.m_RetryAfter},
            Now);
     return;
   }
-  Value.m_Stage = Stage::Parked;
-  const Duration Delay =
-      Denied.m_RetryAfter > Duration(0) ? Denied.m_RetryAfter : ParkDelay;
-  m_Parked.emplace(std::min(Value.m_Deadline, Now + Delay), Handle);
+  CurrentJob.m_Stage = Stage::Parked;
+  const Duration Delay = Denied.m_RetryAfter > Duration(0) ? Denied.m_RetryAfter
+                                                           : HandoverRetryDelay;
+  m_Parked.emplace(std::min(CurrentJob.m_Deadline, Now + Delay), Handle);
 }
 
 void Executor::drainQueue(TimePoint Now) {
@@ -197,23 +208,24 @@
     startJob(*Next, Now);
 }
 
-void Executor::refuse(JobHandle Handle, Verdict Result, TimePoint Now) {
+void Executor::refuse(JobHandle Handle, RequestResult Result, TimePoint Now) {
   finish(Handle, Result, {}, Now);
 }
 
-void Executor::finish(JobHandle Handle, Verdict Result, const HttpAnswer &Http,
-                      TimePoint Now) {
+void Executor::finish(JobHandle Handle, RequestResult Result,
+                      const HttpAnswer &Http, TimePoint Now) {
   const auto It = m_Jobs.find(Handle);
-  const Job Value = std::move(It->second);
+  const Job CurrentJob = std::move(It->second);
   m_Jobs.erase(It);
-  if (!Value.m_Answering)
-    reply(Value.m_From, Value.m_Stream, Result, Http, Value.m_Meta);
-  if (!Value.m_Meta.m_Idempotent)
-    settleRecord(Value, Result, Http, Now);
+  if (!CurrentJob.m_AnswerHeadSent)
+    reply(CurrentJob.m_From, CurrentJob.m_Stream, Result, Http,
+          CurrentJob.m_Meta);
+  if (!CurrentJob.m_Meta.m_Idempotent)
+    completeRecord(CurrentJob, Result, Http, Now);
 }
 
 void Executor::reply(const PeerAddress &To, std::uint64_t Stream,
-                     const Verdict &Result, HttpAnswer Http,
+                     const RequestResult &Result, HttpAnswer Http,
                      const RequestMeta &Meta) {
   ForwardReply Reply;
   Reply.m_Stream = Stream;
@@ -227,42 +239,42 @@
 void Executor::sendReply(const PeerAddress &To, ForwardReply Reply,
                          const RequestMeta &Meta) {
   if (shardFor(Meta)) {
-    const Route Known =
+    const Route Current =
         m_Context.coordinator().route(Meta.m_Service, hashKey(Meta.m_Key));
-    Reply.m_Owner = Known.m_Owner;
-    Reply.m_Epoch = Known.m_Epoch;
+    Reply.m_Owner = Current.m_Owner;
+    Reply.m_Epoch = Current.m_Epoch;
   }
   m_Context.send(To, std::move(Reply));
 }
 
 void Executor::onCancel(std::uint64_t Stream, const PeerAddress &From,
                         TimePoint Now) {
-  for (auto &[Handle, Value] : m_Jobs) {
-    if (Value.m_Stream != Stream || Value.m_From != From)
+  for (auto &[Handle, CurrentJob] : m_Jobs) {
+    if (CurrentJob.m_Stream != Stream || CurrentJob.m_From != From)
       continue;
-    if (Value.m_Stage == Stage::Running) {
-      if (Value.m_Meta.m_Idempotent) {
-        Value.m_Cancelled = true;
-        m_Context.emit(CancelOrder{.m_Order = Value.m_Order});
+    if (CurrentJob.m_Stage == Stage::Running) {
+      if (CurrentJob.m_Meta.m_Idempotent) {
+        CurrentJob.m_Cancelled = true;
+        m_Context.emit(CancelOrder{.m_Order = CurrentJob.m_Order});
       }
       return;
     }
-    if (Value.m_Stage == Stage::Queued)
+    if (CurrentJob.m_Stage == Stage::Queued)
       m_Gate->withdraw(Handle);
     refuse(Handle, {Outcome::NotRun, Reason::Cancelled}, Now);
     return;
   }
 }
 
-void Executor::onAnswering(OrderId Order, HttpAnswer Head) {
+void Executor::onAnswerHead(OrderId Order, HttpAnswer Head) {
   const auto It = m_Orders.find(Order);
   if (It == m_Orders.end())
     return;
-  Job &Value = m_Jobs.at(It->second);
-  if (std::exchange(Value.m_Answering, true))
+  Job &CurrentJob = m_Jobs.at(It->second);
+  if (std::exchange(CurrentJob.m_AnswerHeadSent, true))
     return;
-  reply(Value.m_From, Value.m_Stream, {Outcome::Done, Reason::None},
-        std::move(Head), Value.m_Meta);
+  reply(CurrentJob.m_From, CurrentJob.m_Stream, {Outcome::Done, Reason::None},
+        std::move(Head), CurrentJob.m_Meta);
 }
 
 void Executor::onOrderEnd(const OrderReport &Report, TimePoint Now) {
@@ -271,19 +283,19 @@
     return;
   const JobHandle Handle = It->second;
   m_Orders.erase(It);
-  const Job &Value = m_Jobs.at(Handle);
-  if (Value.m_Shard)
-    m_Context.coordinator().orderFinished(*Value.m_Shard, Value.m_Key,
-                                          Value.m_Epoch, Now);
-  teachGate(Value, Report, Now);
-  Verdict Result{Outcome::Unknown, Reason::TargetFailed};
+  const Job &CurrentJob = m_Jobs.at(Handle);
+  if (CurrentJob.m_Shard)
+    m_Context.coordinator().orderFinished(*CurrentJob.m_Shard, CurrentJob.m_Key,
+                                          CurrentJob.m_Epoch, Now);
+  reportToGate(CurrentJob, Report, Now);
+  RequestResult Result{Outcome::Unknown, Reason::TargetFailed};
   switch (Report.m_End) {
   case OrderEnd::Answered:
     Result = {Outcome::Done, Reason::None};
     break;
   case OrderEnd::Shed:
     Result = {Outcome::Wait, Reason::Overloaded,
-              m_Gate->expectedWait(Value.m_Urgency)};
+              m_Gate->expectedWait(CurrentJob.m_Urgency)};
     break;
   case OrderEnd::NotSent:
     Result = {Outcome::NotRun, Reason::TargetFailed};
@@ -298,16 +310,16 @@
   drainQueue(Now);
 }
 
-void Executor::teachGate(const Job &Value, const OrderReport &Report,
-                         TimePoint Now) {
-  if (Value.m_Cancelled && Report.m_End == OrderEnd::Aborted) {
-    m_Gate->released(Value.m_Urgency);
+void Executor::reportToGate(const Job &CurrentJob, const OrderReport &Report,
+                            TimePoint Now) {
+  if (CurrentJob.m_Cancelled && Report.m_End == OrderEnd::Aborted) {
+    m_Gate->released(CurrentJob.m_Urgency);
     return;
   }
   const bool Failed = Report.m_End == OrderEnd::Failed ||
                       Report.m_End == OrderEnd::Aborted ||
                       Report.m_End == OrderEnd::NotSent;
-  m_Gate->finished(Value.m_Urgency,
+  m_Gate->finished(CurrentJob.m_Urgency,
                    {.m_Latency = Report.m_Latency,
                     .m_Failed = Failed,
                     .m_Shed = Report.m_End == OrderEnd::Shed},
@@ -342,7 +354,7 @@
     m_Parked.erase(m_Parked.begin());
     const auto It = m_Jobs.find(Handle);
     if (It != m_Jobs.end() && It->second.m_Stage == Stage::Parked)
-      tryJob(Handle, Now);
+      tryStartJob(Handle, Now);
   }
   if (!m_Gate)
     return;
@@ -350,7 +362,7 @@
     refuse(Handle, {Outcome::NotRun, Reason::DeadlinePassed}, Now);
   drainQueue(Now);
   if (m_Gate->queued() > 0)
-    m_QueueWake = Now + QueuePeriod;
+    m_QueueWake = Now + QueueCheckInterval;
   else
     m_QueueWake = TimePoint::max();
 }
--- a/src/node/executor_outcomes.cpp
+++ b/src/node/executor_outcomes.cpp
@@ -1,5 +1,5 @@
-// What became of requests that may run only once: their admission, questions
-// about them, and how later attempts are cleared.
+// Implements the records of requests that may run only once: their admission,
+// outcome queries, and the clearing of later attempts.
 #include "balsamwheel/detail/node/executor.h"
 
 #include "balsamwheel/detail/core/safety_rules.h"
@@ -11,66 +11,68 @@
 
 namespace {
 
-bool didNotRun(Outcome Value) {
-  return Value == Outcome::NotRun || Value == Outcome::Wait;
+bool didNotRun(Outcome Result) {
+  return Result == Outcome::NotRun || Result == Outcome::Wait;
 }
 
 } // namespace
 
-bool Executor::admitId(Job &Value, std::uint64_t Query, TimePoint Now) {
+bool Executor::admitRequestId(Job &CurrentJob, std::uint64_t Query,
+                              TimePoint Now) {
   if (!enforced<Rule::AtMostOnceRecord>())
     return true;
-  const RequestMeta &Meta = Value.m_Meta;
-  const Ballot Asked{.m_Attempt = Meta.m_Attempt, .m_Query = Query};
-  OutcomeRecord *Known = recordOf(Meta);
-  if (Known == nullptr) {
+  const RequestMeta &Meta = CurrentJob.m_Meta;
+  const AttemptRank Rank{.m_Attempt = Meta.m_Attempt, .m_Query = Query};
+  OutcomeRecord *Record = findRecord(Meta);
+  if (Record == nullptr) {
     if (Meta.m_Attempt > 1 || Query != 0) {
-      reply(Value.m_From, Value.m_Stream,
+      reply(CurrentJob.m_From, CurrentJob.m_Stream,
             {Outcome::Unknown, Reason::MemoryLost}, {}, Meta);
       return false;
     }
-    OutcomeRecord &Record = m_Outcomes.insert(Meta.m_Service, Meta.m_Id, Now);
-    Record.m_Ballot = Asked;
-    Record.m_Epoch = Value.m_Expected;
+    OutcomeRecord &Inserted = m_Outcomes.insert(Meta.m_Service, Meta.m_Id, Now);
+    Inserted.m_Rank = Rank;
+    Inserted.m_Epoch = CurrentJob.m_ExpectedEpoch;
     return true;
   }
-  switch (Known->m_State) {
+  switch (Record->m_State) {
   case RecordState::Pending:
   case RecordState::Running:
-    Known->m_Waiters.push_back({.m_From = Value.m_From,
-                                .m_Stream = Value.m_Stream,
-                                .m_Query = false,
-                                .m_Asked = {}});
+    Record->m_Waiters.push_back({.m_From = CurrentJob.m_From,
+                                 .m_Stream = CurrentJob.m_Stream,
+                                 .m_IsQuery = false,
+                                 .m_Message = {}});
     return false;
   case RecordState::Done:
   case RecordState::Unknown:
-    replyRecord(*Known, Value.m_From, Value.m_Stream, Meta);
+    replyRecord(*Record, CurrentJob.m_From, CurrentJob.m_Stream, Meta);
     return false;
   case RecordState::Cleared:
     break;
   }
-  if (!admitCleared(*Known, Value, Asked))
+  if (!admitClearedAttempt(*Record, CurrentJob, Rank))
     return false;
-  Known->m_State = RecordState::Pending;
+  Record->m_State = RecordState::Pending;
   return true;
 }
 
-bool Executor::admitCleared(const OutcomeRecord &Record, const Job &Value,
-                            const Ballot &Asked) {
-  if (Asked < Record.m_Ballot) {
-    // A later attempt superseded this one before it ran.
-    reply(Value.m_From, Value.m_Stream, {Outcome::NotRun, Reason::Cancelled},
-          {}, Value.m_Meta);
+bool Executor::admitClearedAttempt(const OutcomeRecord &Record,
+                                   const Job &CurrentJob,
+                                   const AttemptRank &Rank) {
+  if (Rank < Record.m_Rank) {
+    // A later attempt superseded this one before this one ran.
+    reply(CurrentJob.m_From, CurrentJob.m_Stream,
+          {Outcome::NotRun, Reason::Cancelled}, {}, CurrentJob.m_Meta);
     return false;
   }
-  if (Asked != Record.m_Ballot) {
-    reply(Value.m_From, Value.m_Stream, {Outcome::Unknown, Reason::MemoryLost},
-          {}, Value.m_Meta);
+  if (Rank != Record.m_Rank) {
+    reply(CurrentJob.m_From, CurrentJob.m_Stream,
+          {Outcome::Unknown, Reason::MemoryLost}, {}, CurrentJob.m_Meta);
     return false;
   }
-  if (Value.m_Expected != Record.m_Epoch) {
-    reply(Value.m_From, Value.m_Stream, {Outcome::NotRun, Reason::NotOwner}, {},
-          Value.m_Meta);
+  if (CurrentJob.m_ExpectedEpoch != Record.m_Epoch) {
+    reply(CurrentJob.m_From, CurrentJob.m_Stream,
+          {Outcome::NotRun, Reason::NotOwner}, {}, CurrentJob.m_Meta);
     return false;
   }
   return true;
@@ -86,21 +88,22 @@
     return;
   }
   if (Query.m_Forward != 0)
-    answerFate(Query, From, Now);
+    answerForwardQuery(Query, From, Now);
   else
     clearRetry(Query, From, Now);
 }
 
-void Executor::answerFate(const OutcomeQuery &Query, const PeerAddress &From,
-                          TimePoint Now) {
-  const bool Unseen = m_Replays.accept(Query.m_Forward);
-  OutcomeRecord *Known = recordOf(Query.m_Meta);
-  if (Known != nullptr && Known->m_State != RecordState::Cleared) {
-    replyRecord(*Known, From, Query.m_Stream, Query.m_Meta);
+void Executor::answerForwardQuery(const OutcomeQuery &Query,
+                                  const PeerAddress &From, TimePoint Now) {
+  const bool IsNew = m_ReplayWindow.accept(Query.m_Forward);
+  OutcomeRecord *Record = findRecord(Query.m_Meta);
+  if (Record != nullptr && Record->m_State != RecordState::Cleared) {
+    replyRecord(*Record, From, Query.m_Stream, Query.m_Meta);
     return;
   }
-  const bool Forgotten = m_Outcomes.forgottenUpTo() > Now - m_OutcomeMemory;
-  if (!Unseen && Forgotten)
+  const bool MemoryIncomplete =
+      m_Outcomes.evictedUpTo() > Now - m_OutcomeMemory;
+  if (!IsNew && MemoryIncomplete)
     reply(From, Query.m_Stream, {Outcome::Unknown, Reason::MemoryLost}, {},
           Query.m_Meta);
   else
@@ -111,47 +114,49 @@
 void Executor::clearRetry(const OutcomeQuery &Query, const PeerAddress &From,
                           TimePoint Now) {
   const RequestMeta &Meta = Query.m_Meta;
-  const Ballot Asked{.m_Attempt = Meta.m_Attempt, .m_Query = Query.m_Stream};
-  OutcomeRecord *Known = recordOf(Meta);
-  if (Known != nullptr && Known->m_State != RecordState::Cleared) {
-    if (Known->m_State == RecordState::Pending ||
-        Known->m_State == RecordState::Running)
-      Known->m_Waiters.push_back({.m_From = From,
-                                  .m_Stream = Query.m_Stream,
-                                  .m_Query = true,
-                                  .m_Asked = Query});
+  const AttemptRank Rank{.m_Attempt = Meta.m_Attempt,
+                         .m_Query = Query.m_Stream};
+  OutcomeRecord *Record = findRecord(Meta);
+  if (Record != nullptr && Record->m_State != RecordState::Cleared) {
+    if (Record->m_State == RecordState::Pending ||
+        Record->m_State == RecordState::Running)
+      Record->m_Waiters.push_back({.m_From = From,
+                                   .m_Stream = Query.m_Stream,
+                                   .m_IsQuery = true,
+                                   .m_Message = Query});
     else
-      replyRecord(*Known, From, Query.m_Stream, Meta);
+      replyRecord(*Record, From, Query.m_Stream, Meta);
     return;
   }
-  if (Known != nullptr && Asked < Known->m_Ballot) {
+  if (Record != nullptr && Rank < Record->m_Rank) {
     reply(From, Query.m_Stream, {Outcome::Unknown, Reason::Cancelled}, {},
           Meta);
     return;
   }
-  Job Probe;
-  Probe.m_Meta = Meta;
-  Probe.m_Key = hashKey(Meta.m_Key);
-  Probe.m_Shard = shardFor(Meta);
-  const Permit Current = permitFor(Probe, Now);
-  if (Known == nullptr)
-    Known = &m_Outcomes.insert(Meta.m_Service, Meta.m_Id, Now);
-  if (Known->m_Asked != 0 && Known->m_Asked != Query.m_Asked)
-    Known->m_AskedDiffer = true;
-  Known->m_Asked = Query.m_Asked;
-  Known->m_State = RecordState::Cleared;
-  Known->m_Ballot = Asked;
-  Known->m_Epoch = Current.m_Granted ? Current.m_Epoch : Epoch();
-  m_Outcomes.settled(Meta.m_Service, Meta.m_Id, Now);
+  Job Candidate;
+  Candidate.m_Meta = Meta;
+  Candidate.m_Key = hashKey(Meta.m_Key);
+  Candidate.m_Shard = shardFor(Meta);
+  const Permit Current = permitFor(Candidate, Now);
+  if (Record == nullptr)
+    Record = &m_Outcomes.insert(Meta.m_Service, Meta.m_Id, Now);
+  if (Record->m_Asked != 0 && Record->m_Asked != Query.m_Asked)
+    Record->m_AskedSetsDiffer = true;
+  Record->m_Asked = Query.m_Asked;
+  Record->m_State = RecordState::Cleared;
+  Record->m_Rank = Rank;
+  Record->m_Epoch = Current.m_Granted ? Current.m_Epoch : Epoch();
+  m_Outcomes.markCompleted(Meta.m_Service, Meta.m_Id, Now);
 
   ForwardReply Reply;
   Reply.m_Stream = Query.m_Stream;
   Reply.m_Outcome = Outcome::NotRun;
   Reply.m_Reason = Current.m_Granted ? Reason::None : Current.m_Reason;
   Reply.m_RetryAfter = Current.m_RetryAfter;
-  Reply.m_MemoryAge = Known->m_AskedDiffer ? Duration(0) : memoryAge(Meta, Now);
-  if (Probe.m_Shard)
-    Reply.m_Former = m_Context.coordinator().formerOwner(*Probe.m_Shard);
+  Reply.m_MemoryAge =
+      Record->m_AskedSetsDiffer ? Duration(0) : memoryAge(Meta, Now);
+  if (Candidate.m_Shard)
+    Reply.m_Former = m_Context.coordinator().formerOwner(*Candidate.m_Shard);
   sendReply(From, std::move(Reply), Meta);
 }
 
@@ -160,8 +165,10 @@
   switch (Record.m_State) {
   case RecordState::Pending:
   case RecordState::Running:
-    recordOf(Meta)->m_Waiters.push_back(
-        {.m_From = To, .m_Stream = Stream, .m_Query = false, .m_Asked = {}});
+    findRecord(Meta)->m_Waiters.push_back({.m_From = To,
+                                           .m_Stream = Stream,
+                                           .m_IsQuery = false,
+                                           .m_Message = {}});
     return;
   case RecordState::Done:
     if (Record.m_HasAnswer)
@@ -177,10 +184,10 @@
 }
 
 Duration Executor::memoryAge(const RequestMeta &Meta, TimePoint Now) const {
-  TimePoint Since = m_Outcomes.forgottenUpTo();
+  TimePoint Since = m_Outcomes.evictedUpTo();
   if (const std::optional<ShardRef> Shard = shardFor(Meta)) {
-    // A former owner may have lost the shard in between, so only the memory of
-    // the present assignment counts.
+    // Other daemons may have owned the shard before the current assignment, so
+    // older records of this daemon prove nothing.
     const std::optional<TimePoint> Owned =
         m_Context.coordinator().activeSince(*Shard);
     if (!Owned)
@@ -192,21 +199,23 @@
   return Now - Since;
 }
 
-OutcomeRecord *Executor::recordOf(const RequestMeta &Meta) {
+OutcomeRecord *Executor::findRecord(const RequestMeta &Meta) {
   return m_Outcomes.find(Meta.m_Service, Meta.m_Id);
 }
 
-void Executor::settleRecord(const Job &Value, const Verdict &Result,
-                            const HttpAnswer &Http, TimePoint Now) {
-  const RequestMeta &Meta = Value.m_Meta;
-  OutcomeRecord *Record = recordOf(Meta);
+void Executor::completeRecord(const Job &CurrentJob,
+                              const RequestResult &Result,
+                              const HttpAnswer &Http, TimePoint Now) {
+  const RequestMeta &Meta = CurrentJob.m_Meta;
+  OutcomeRecord *Record = findRecord(Meta);
   if (Record == nullptr)
     return;
   const std::vector<OutcomeWaiter> Waiters = std::move(Record->m_Waiters);
   Record->m_Waiters.clear();
   if (Result.m_Outcome == Outcome::Done) {
     Record->m_State = RecordState::Done;
-    Record->m_HasAnswer = Http.m_BodyStream == 0 && !Value.m_Answering;
+    Record->m_HasAnswer =
+        Http.m_BodyStream == 0 && !CurrentJob.m_AnswerHeadSent;
     if (Record->m_HasAnswer)
       Record->m_Http = Http;
   } else if (!didNotRun(Result.m_Outcome)) {
@@ -215,15 +224,16 @@
   } else {
     Record->m_State = RecordState::Cleared;
   }
-  if (Record->m_State == RecordState::Cleared && Record->m_Ballot == Ballot())
+  if (Record->m_State == RecordState::Cleared &&
+      Record->m_Rank == AttemptRank())
     m_Outcomes.erase(Meta.m_Service, Meta.m_Id);
   else
-    m_Outcomes.settled(Meta.m_Service, Meta.m_Id, Now);
+    m_Outcomes.markCompleted(Meta.m_Service, Meta.m_Id, Now);
 
   for (const OutcomeWaiter &Waiter : Waiters) {
-    if (Waiter.m_Query && didNotRun(Result.m_Outcome))
-      clearRetry(Waiter.m_Asked, Waiter.m_From, Now);
-    else if (const OutcomeRecord *Current = recordOf(Meta);
+    if (Waiter.m_IsQuery && didNotRun(Result.m_Outcome))
+      clearRetry(Waiter.m_Message, Waiter.m_From, Now);
+    else if (const OutcomeRecord *Current = findRecord(Meta);
              Current != nullptr && Current->m_State != RecordState::Cleared)
       replyRecord(*Current, Waiter.m_From, Waiter.m_Stream, Meta);
     else
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -1,4 +1,4 @@
-// Joins the coordinator, the entrance and the executor of one daemon.
+// Connects the coordinator, the entrance and the executor of one daemon.
 #include "balsamwheel/detail/node/node.h"
 
 #include "balsamwheel/detail/node/context.h"
@@ -11,7 +11,8 @@
 
 namespace balsamwheel {
 
-/// Routes each event to its part and empties the loopback afterwards.
+/// Passes each event to the part that handles it, then empties the loopback
+/// queue.
 class Node::Impl {
 public:
   Impl(NodeOptions Options, std::uint64_t Seed)
@@ -24,19 +25,19 @@
     });
   }
 
-  template <typename Action> void at(TimePoint Now, Action &&Perform) {
-    m_Entrance.noteTime(Now);
-    Perform();
-    m_Context.noteSession();
-    drainLoopback(Now);
-    watchControl(Now);
+  template <typename Action> void handleEvent(TimePoint Now, Action &&Handler) {
+    m_Entrance.detectSuspension(Now);
+    Handler();
+    m_Context.recordSession();
+    handleLoopback(Now);
+    probeControlPeers(Now);
   }
 
   void onTick(TimePoint Now) {
-    at(Now, [&] {
+    handleEvent(Now, [&] {
       m_Context.coordinator().onTick(Now);
       m_Executor.onTick(Now);
-      drainLoopback(Now);
+      handleLoopback(Now);
       m_Entrance.onTick(Now);
       m_Watch.onTick(Now);
     });
@@ -87,13 +88,13 @@
     m_Watch.onProbeReply(From, Message.m_Nonce);
   }
 
-  /// Checks the connections that carry the coordinator's messages; those have
-  /// no receipts of their own.
-  void watchControl(TimePoint Now) {
-    const std::size_t Known = m_Context.effects().size();
+  /// Probes the connections on which the coordinator has sent messages, because
+  /// control messages have no receipts.
+  void probeControlPeers(TimePoint Now) {
+    const std::size_t FirstNew = m_Context.effects().size();
     m_Context.collectEffects();
     std::vector<PeerAddress> Peers;
-    for (std::size_t I = Known; I < m_Context.effects().size(); ++I)
+    for (std::size_t I = FirstNew; I < m_Context.effects().size(); ++I)
       if (const auto *Sent = std::get_if<SendControl>(&m_Context.effects()[I]))
         Peers.push_back(Sent->m_To);
     for (const PeerAddress &Peer : Peers)
@@ -101,7 +102,7 @@
         m_Watch.onSent(Peer, Now);
   }
 
-  void drainLoopback(TimePoint Now) {
+  void handleLoopback(TimePoint Now) {
     std::deque<RequestMessage> &Queue = m_Context.loopback();
     while (!Queue.empty()) {
       RequestMessage Message = std::move(Queue.front());
@@ -118,7 +119,7 @@
 Node &Node::operator=(Node &&) noexcept = default;
 
 void Node::start(TimePoint Now) {
-  m_Impl->at(Now, [&] { m_Impl->m_Context.coordinator().start(Now); });
+  m_Impl->handleEvent(Now, [&] { m_Impl->m_Context.coordinator().start(Now); });
 }
 
 void Node::onTick(TimePoint Now) { m_Impl->onTick(Now); }
@@ -126,62 +127,65 @@
 TimePoint Node::nextWake() const { return m_Impl->nextWake(); }
 
 void Node::onCallerRequest(IncomingRequest Request, TimePoint Now) {
-  m_Impl->at(Now, [&] {
+  m_Impl->handleEvent(Now, [&] {
     m_Impl->m_Entrance.onCallerRequest(std::move(Request), Now);
   });
 }
 
 void Node::onCallerGone(RequestHandle Request, TimePoint Now) {
-  m_Impl->at(Now, [&] { m_Impl->m_Entrance.onCallerGone(Request, Now); });
+  m_Impl->handleEvent(Now,
+                      [&] { m_Impl->m_Entrance.onCallerGone(Request, Now); });
 }
 
 void Node::onControl(const ControlMessage &Message, const PeerAddress &From,
                      TimePoint Now) {
-  m_Impl->at(Now, [&] {
+  m_Impl->handleEvent(Now, [&] {
     m_Impl->m_Context.coordinator().onMessage(Message, From, Now);
   });
 }
 
 void Node::onRequest(RequestMessage Message, const PeerAddress &From,
                      TimePoint Now) {
-  m_Impl->at(Now, [&] { m_Impl->onRequest(std::move(Message), From, Now); });
+  m_Impl->handleEvent(
+      Now, [&] { m_Impl->onRequest(std::move(Message), From, Now); });
 }
 
 void Node::onPeerLost(const PeerAddress &Peer, TimePoint Now) {
-  m_Impl->at(Now, [&] { m_Impl->m_Entrance.onPeerLost(Peer, Now); });
+  m_Impl->handleEvent(Now, [&] { m_Impl->m_Entrance.onPeerLost(Peer, Now); });
 }
 
 void Node::onTableReply(TableTicket Ticket, const TableReply &Reply,
                         TimePoint Now) {
-  m_Impl->at(Now, [&] {
+  m_Impl->handleEvent(Now, [&] {
     m_Impl->m_Context.coordinator().onTableReply(Ticket, Reply, Now);
   });
 }
 
 void Node::onOrderAnswering(OrderId Order, HttpAnswer Head, TimePoint Now) {
-  m_Impl->at(Now,
-             [&] { m_Impl->m_Executor.onAnswering(Order, std::move(Head)); });
+  m_Impl->handleEvent(
+      Now, [&] { m_Impl->m_Executor.onAnswerHead(Order, std::move(Head)); });
 }
 
 void Node::onOrderEnd(OrderReport Report, TimePoint Now) {
-  m_Impl->at(Now, [&] { m_Impl->m_Executor.onOrderEnd(Report, Now); });
+  m_Impl->handleEvent(Now, [&] { m_Impl->m_Executor.onOrderEnd(Report, Now); });
 }
 
 void Node::onTargetReady(const ServiceName &Service, std::uint32_t Slots,
                          TimePoint Now) {
-  m_Impl->at(Now, [&] {
+  m_Impl->handleEvent(Now, [&] {
     m_Impl->m_Executor.onTargetReady(Service, Slots, Now);
     m_Impl->m_Context.coordinator().onTargetReady(Service, Slots, Now);
   });
 }
 
 void Node::onTargetLeaving(TimePoint Now) {
-  m_Impl->at(Now,
-             [&] { m_Impl->m_Context.coordinator().onTargetLeaving(Now); });
+  m_Impl->handleEvent(
+      Now, [&] { m_Impl->m_Context.coordinator().onTargetLeaving(Now); });
 }
 
 void Node::beginShutdown(TimePoint Now) {
-  m_Impl->at(Now, [&] { m_Impl->m_Context.coordinator().beginShutdown(Now); });
+  m_Impl->handleEvent(
+      Now, [&] { m_Impl->m_Context.coordinator().beginShutdown(Now); });
 }
 
 bool Node::drained() const {
--- a/src/node/outcome_store.cpp
+++ b/src/node/outcome_store.cpp
@@ -1,4 +1,4 @@
-// Bounded records of non-idempotent requests.
+// Implements the bounded store of outcome records.
 #include "balsamwheel/detail/node/outcome_store.h"
 
 #include <algorithm>
@@ -39,26 +39,26 @@
   m_Records.erase(recordKey(Service, Id));
 }
 
-void OutcomeStore::settled(const ServiceName &Service, const RequestId &Id,
-                           TimePoint Now) {
-  m_Order.push_back({Now, recordKey(Service, Id)});
+void OutcomeStore::markCompleted(const ServiceName &Service,
+                                 const RequestId &Id, TimePoint Now) {
+  m_EvictionQueue.push_back({Now, recordKey(Service, Id)});
 }
 
 void OutcomeStore::expire(TimePoint Now) {
-  while (!m_Order.empty()) {
-    const Settled &Oldest = m_Order.front();
-    if (Oldest.m_At + m_Memory > Now && m_Order.size() <= m_Limit)
+  while (!m_EvictionQueue.empty()) {
+    const Completed &Oldest = m_EvictionQueue.front();
+    if (Oldest.m_At + m_Retention > Now && m_EvictionQueue.size() <= m_Limit)
       return;
     evict(Oldest);
-    m_Order.pop_front();
+    m_EvictionQueue.pop_front();
   }
 }
 
-void OutcomeStore::evict(const Settled &Oldest) {
+void OutcomeStore::evict(const Completed &Oldest) {
   const auto It = m_Records.find(Oldest.m_Key);
   if (It == m_Records.end() || isOpen(It->second))
     return;
-  m_ForgottenUpTo = std::max(m_ForgottenUpTo, It->second.m_Created);
+  m_EvictedUpTo = std::max(m_EvictedUpTo, It->second.m_Created);
   m_Records.erase(It);
 }
 
--- a/src/node/peer_watch.cpp
+++ b/src/node/peer_watch.cpp
@@ -1,4 +1,4 @@
-// Probes and resets of connections.
+// Implements the probing and resetting of connections.
 #include "balsamwheel/detail/node/peer_watch.h"
 
 #include <algorithm>
@@ -7,9 +7,11 @@
 
 namespace {
 
-/// A connection that carries control messages is checked once in this time.
-constexpr Duration CheckPeriod = std::chrono::milliseconds(500);
-constexpr Duration CheckPatience = std::chrono::milliseconds(150);
+/// Minimum interval between two probes of a connection that carries control
+/// messages.
+constexpr Duration MinProbeInterval = std::chrono::milliseconds(500);
+/// A connection without a probe reply within this time is reset.
+constexpr Duration ProbeTimeout = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -20,21 +22,21 @@
 }
 
 bool PeerWatch::answered(const PeerAddress &Peer, std::uint64_t Nonce) const {
-  const auto It = m_Answered.find(Peer);
-  return It != m_Answered.end() && It->second >= Nonce;
+  const auto It = m_HighestAnswered.find(Peer);
+  return It != m_HighestAnswered.end() && It->second >= Nonce;
 }
 
 void PeerWatch::onProbeReply(const PeerAddress &From, std::uint64_t Nonce) {
-  // A reply to a former run of this daemon must not count.
+  // Ignores replies to probes of an earlier run of this daemon.
   if (Nonce > m_LastNonce)
     return;
-  std::uint64_t &Highest = m_Answered[From];
+  std::uint64_t &Highest = m_HighestAnswered[From];
   Highest = std::max(Highest, Nonce);
 }
 
 void PeerWatch::reset(const PeerAddress &Peer, TimePoint Now) {
-  const auto [It, Inserted] = m_Resets.try_emplace(Peer, Now);
-  if (!Inserted && Now - It->second < m_Patience)
+  const auto [It, Inserted] = m_LastResets.try_emplace(Peer, Now);
+  if (!Inserted && Now - It->second < m_MinResetInterval)
     return;
   It->second = Now;
   m_Context.emit(ResetPeer{.m_Peer = Peer});
@@ -44,24 +46,24 @@
 
 void PeerWatch::onSent(const PeerAddress &Peer, TimePoint Now) {
   Check &Current = m_Checks[Peer];
-  if (Current.m_JudgeAt != TimePoint::max() || Now < Current.m_NextAt)
+  if (Current.m_EvaluateAt != TimePoint::max() || Now < Current.m_NextAt)
     return;
   Current.m_Nonce = probe(Peer);
-  Current.m_JudgeAt = Now + CheckPatience;
-  Current.m_NextAt = Now + CheckPeriod;
-  m_Wake = std::min(m_Wake, Current.m_JudgeAt);
+  Current.m_EvaluateAt = Now + ProbeTimeout;
+  Current.m_NextAt = Now + MinProbeInterval;
+  m_WakeAt = std::min(m_WakeAt, Current.m_EvaluateAt);
 }
 
 void PeerWatch::onTick(TimePoint Now) {
-  if (Now < m_Wake)
+  if (Now < m_WakeAt)
     return;
-  m_Wake = TimePoint::max();
+  m_WakeAt = TimePoint::max();
   for (auto &[Peer, Current] : m_Checks) {
-    if (Current.m_JudgeAt > Now) {
-      m_Wake = std::min(m_Wake, Current.m_JudgeAt);
+    if (Current.m_EvaluateAt > Now) {
+      m_WakeAt = std::min(m_WakeAt, Current.m_EvaluateAt);
       continue;
     }
-    Current.m_JudgeAt = TimePoint::max();
+    Current.m_EvaluateAt = TimePoint::max();
     if (answered(Peer, Current.m_Nonce))
       continue;
     Current.m_NextAt = Now;
--- a/tests/fake_network.h
+++ b/tests/fake_network.h
@@ -18,7 +18,7 @@
       : m_Queue(Queue), m_Dice(Seed) {}
 
   unsigned m_LossPercent = 0;
-  unsigned m_DoublePercent = 0;
+  unsigned m_DuplicatePercent = 0;
   /// Percent of messages that come up to m_LateDelay later than others.
   unsigned m_LatePercent = 0;
   Duration m_LateDelay = milliseconds(400);
@@ -26,7 +26,7 @@
 
   /// Ends every fault but silent connections: only a reset cures those.
   void heal() {
-    m_LossPercent = m_DoublePercent = m_LatePercent = 0;
+    m_LossPercent = m_DuplicatePercent = m_LatePercent = 0;
     m_Cut.clear();
   }
 
@@ -45,7 +45,7 @@
   void send(std::size_t From, std::size_t To, const PeerMessage &Message) {
     if (m_Silent.contains({From, To}) || m_Dice.chance(m_LossPercent))
       return;
-    const int Copies = m_Dice.chance(m_DoublePercent) ? 2 : 1;
+    const int Copies = m_Dice.chance(m_DuplicatePercent) ? 2 : 1;
     for (int Copy = 0; Copy < Copies; ++Copy)
       m_Queue.after(delay(), [this, From, To, Message] {
         if (!m_Cut.contains({From, To}))
--- a/tests/fake_target.h
+++ b/tests/fake_target.h
@@ -24,50 +24,52 @@
 
   bool m_ChecksFences = false;
   /// Drops an order whose deadline has passed.
-  bool m_KeepsDeadlines = true;
+  bool m_EnforcesDeadlines = true;
   bool m_Cold = false;
-  Duration m_Time = milliseconds(4);
+  Duration m_MaxServiceTime = milliseconds(4);
   /// Called when an order takes effect.
   Ran m_OnRun;
 
   void freeze() { m_Frozen = true; }
   void thaw() {
     m_Frozen = false;
-    for (EventQueue::Action &Waiting : std::exchange(m_Held, {}))
+    for (EventQueue::Action &Waiting : std::exchange(m_Deferred, {}))
       Waiting();
   }
   bool frozen() const { return m_Frozen; }
   void restart() {
     ++m_Run;
-    m_Held.clear();
+    m_Deferred.clear();
     m_Frozen = false;
     m_Cold = true;
   }
 
   /// \p Order's deadline is in true time.
   void start(const StartOrder &Order, Done Report) {
-    const Duration Time =
-        m_Dice.between(milliseconds(1), m_Cold ? m_Time * 8 : m_Time);
-    m_Queue.after(Time / 2, [this, Order, Report, Time, Run = m_Run] {
-      whenAwake([this, Order, Report, Time, Run] {
-        if (Run == m_Run)
-          take(Order, Report, Time);
-        else
-          Report(OrderEnd::Failed, {});
-      });
-    });
+    const Duration ServiceTime = m_Dice.between(
+        milliseconds(1), m_Cold ? m_MaxServiceTime * 8 : m_MaxServiceTime);
+    m_Queue.after(ServiceTime / 2,
+                  [this, Order, Report, ServiceTime, Run = m_Run] {
+                    runUnlessFrozen([this, Order, Report, ServiceTime, Run] {
+                      if (Run == m_Run)
+                        execute(Order, Report, ServiceTime);
+                      else
+                        Report(OrderEnd::Failed, {});
+                    });
+                  });
   }
 
 private:
-  void whenAwake(EventQueue::Action Perform) {
+  void runUnlessFrozen(EventQueue::Action Perform) {
     if (m_Frozen)
-      m_Held.push_back(std::move(Perform));
+      m_Deferred.push_back(std::move(Perform));
     else
       Perform();
   }
 
-  void take(const StartOrder &Order, const Done &Report, Duration Time) {
-    if (m_KeepsDeadlines && m_Queue.now() > Order.m_Deadline) {
+  void execute(const StartOrder &Order, const Done &Report,
+               Duration ServiceTime) {
+    if (m_EnforcesDeadlines && m_Queue.now() > Order.m_Deadline) {
       Report(OrderEnd::Aborted, {});
       return;
     }
@@ -88,8 +90,8 @@
     Answer.m_Status = 200;
     Answer.m_Body = answerTo(Order.m_Meta.m_Id);
     Answer.m_BodyLength = Answer.m_Body.size();
-    m_Queue.after(Time / 2, [this, Report, Answer, Run = m_Run] {
-      whenAwake([this, Report, Answer, Run] {
+    m_Queue.after(ServiceTime / 2, [this, Report, Answer, Run = m_Run] {
+      runUnlessFrozen([this, Report, Answer, Run] {
         const bool Whole = Run == m_Run;
         Report(Whole ? OrderEnd::Answered : OrderEnd::Failed,
                Whole ? Answer : HttpAnswer{});
@@ -101,7 +103,7 @@
   Dice m_Dice;
   bool m_Frozen = false;
   unsigned m_Run = 0;
-  std::vector<EventQueue::Action> m_Held;
+  std::vector<EventQueue::Action> m_Deferred;
   std::map<ShardRef, Epoch> m_Fences;
 };
 
--- a/tests/node_oracle.h
+++ b/tests/node_oracle.h
@@ -25,22 +25,22 @@
   unsigned m_Run = 0;
   bool m_Answered = false;
   /// Nothing but operator commands happened since it was sent.
-  bool m_Calm = false;
+  bool m_FaultFree = false;
 };
 
 class NodeOracle {
 public:
   explicit NodeOracle(EventQueue &Queue) : m_Queue(Queue) {}
 
-  void fail(const std::string &What) {
-    m_Violations.push_back(What);
-    note("VIOLATION " + What);
+  void fail(const std::string &Text) {
+    m_Violations.push_back(Text);
+    addTraceLine("VIOLATION " + Text);
   }
   const std::vector<std::string> &violations() const { return m_Violations; }
 
-  void note(const std::string &What) {
+  void addTraceLine(const std::string &Text) {
     m_Trace.push_back(std::to_string(m_Queue.now().time_since_epoch().count()) +
-                      " " + What);
+                      " " + Text);
     if (m_Trace.size() > TraceLength)
       m_Trace.pop_front();
   }
@@ -49,8 +49,8 @@
   /// A target took an order.
   void onRun(const RequestMeta &Meta, const std::string &Tag,
              std::size_t Daemon) {
-    note("ran " + Meta.m_Id.value() + " " + Tag + " at " +
-         std::to_string(Daemon));
+    addTraceLine("ran " + Meta.m_Id.value() + " " + Tag + " at " +
+                 std::to_string(Daemon));
     ++m_Runs;
     m_RanTags.insert(Tag);
     std::vector<TimePoint> &Runs = m_RunsOfId[Meta.m_Id];
@@ -62,9 +62,9 @@
   }
 
   void onAnswer(CallerAttempt &Attempt, const AnswerCaller &Answer) {
-    note("answer " + Attempt.m_Tag + " " +
-         std::string(toString(Answer.m_Outcome)) + " " +
-         std::string(toString(Answer.m_Reason)));
+    addTraceLine("answer " + Attempt.m_Tag + " " +
+                 std::string(toString(Answer.m_Outcome)) + " " +
+                 std::string(toString(Answer.m_Reason)));
     ++m_Answers[Answer.m_Outcome];
     if (std::exchange(Attempt.m_Answered, true))
       fail("second answer to " + Attempt.m_Tag);
@@ -78,7 +78,7 @@
       checkNotRun(Attempt);
       return;
     case Outcome::Unknown:
-      if (Attempt.m_Calm && Answer.m_Reason != Reason::MemoryLost)
+      if (Attempt.m_FaultFree && Answer.m_Reason != Reason::MemoryLost)
         fail("outcome unknown without a fault: " + Attempt.m_Tag);
       return;
     }
--- a/tests/node_rig.cpp
+++ b/tests/node_rig.cpp
@@ -15,11 +15,11 @@
 constexpr std::uint32_t Shards = 8;
 constexpr std::size_t KeyCount = 12;
 /// Clocks run at most this far apart, in parts of a thousand.
-constexpr int MostDrift = 10;
-constexpr Duration LeaveBound = std::chrono::milliseconds(3000);
-constexpr Duration DomainOutBound = std::chrono::milliseconds(4000);
+constexpr int MaxDriftPermille = 10;
+constexpr Duration MaxNewWorkAfterLeaving = std::chrono::milliseconds(3000);
+constexpr Duration MaxNewWorkAfterDomainOut = std::chrono::milliseconds(4000);
 constexpr Duration SettleTime = std::chrono::seconds(4);
-constexpr Duration AnswerSlack = std::chrono::milliseconds(1);
+constexpr Duration AnswerTolerance = std::chrono::milliseconds(1);
 
 const ServiceName Keyed("timetables");
 const ServiceName Pool("orders");
@@ -52,11 +52,11 @@
 NodeRig::NodeRig(RigOptions Options)
     : m_Options(Options), m_Dice(Options.m_Seed), m_Oracle(m_Queue),
       m_Table(m_Queue, Options.m_Seed + 1),
-      m_Network(m_Queue, Options.m_Seed + 2), m_CalmSince(m_Queue.now()) {
+      m_Network(m_Queue, Options.m_Seed + 2), m_FaultFreeSince(m_Queue.now()) {
   m_Network.m_Deliver = [this](std::size_t To, std::size_t From,
                                const PeerMessage &Message) {
     const PeerAddress Sender = m_Daemons[From].m_Peer;
-    call(To, [Message, Sender](Node &Receiver, TimePoint Now) {
+    callNode(To, [Message, Sender](Node &Receiver, TimePoint Now) {
       if (const auto *Control = std::get_if<ControlMessage>(&Message))
         Receiver.onControl(*Control, Sender, Now);
       else if (const auto *Request = std::get_if<RequestMessage>(&Message))
@@ -71,21 +71,21 @@
   };
   for (std::size_t I = 0; I < KeyCount; ++I)
     m_Keys.push_back("key" + std::to_string(I));
-  changeConfig([](Config &Value) { Value = firstConfig(); });
+  changeConfig([](Config &Next) { Next = firstConfig(); });
   m_Daemons.resize(DaemonCount);
   for (std::size_t I = 0; I < DaemonCount; ++I) {
-    Daemon &Value = m_Daemons[I];
-    Value.m_Domain = std::string(1, static_cast<char>('a' + I % 3));
-    Value.m_Service = I < KeyedDaemons ? Keyed : Pool;
-    Value.m_Peer = PeerAddress("127.0.0.1:" + std::to_string(7000 + I));
-    const auto Drift = static_cast<int>(m_Dice.below(2 * MostDrift + 1));
-    Value.m_Rate = 1.0 + (Drift - MostDrift) / 1000.0;
-    Value.m_Offset = m_Dice.between(Duration(0), seconds(100000));
-    Value.m_Target =
+    Daemon &ThisDaemon = m_Daemons[I];
+    ThisDaemon.m_Domain = std::string(1, static_cast<char>('a' + I % 3));
+    ThisDaemon.m_Service = I < KeyedDaemons ? Keyed : Pool;
+    ThisDaemon.m_Peer = PeerAddress("127.0.0.1:" + std::to_string(7000 + I));
+    const auto Drift = static_cast<int>(m_Dice.below(2 * MaxDriftPermille + 1));
+    ThisDaemon.m_Rate = 1.0 + (Drift - MaxDriftPermille) / 1000.0;
+    ThisDaemon.m_Offset = m_Dice.between(Duration(0), seconds(100000));
+    ThisDaemon.m_Target =
         std::make_unique<FakeTarget>(m_Queue, Options.m_Seed + 10 + I);
-    Value.m_Target->m_ChecksFences = m_Dice.chance(50);
-    Value.m_Target->m_KeepsDeadlines = m_Dice.chance(70);
-    Value.m_Target->m_OnRun = [this, I](const StartOrder &Order) {
+    ThisDaemon.m_Target->m_ChecksFences = m_Dice.chance(50);
+    ThisDaemon.m_Target->m_EnforcesDeadlines = m_Dice.chance(70);
+    ThisDaemon.m_Target->m_OnRun = [this, I](const StartOrder &Order) {
       m_Oracle.onRun(Order.m_Meta, Order.m_Http.m_Path, I);
     };
     startDaemon(I);
@@ -93,18 +93,18 @@
   run(seconds(4));
 }
 
-TimePoint NodeRig::localTime(const Daemon &Value) const {
+TimePoint NodeRig::localTime(const Daemon &ThisDaemon) const {
   const auto True =
       static_cast<double>(m_Queue.now().time_since_epoch().count());
-  return TimePoint(Value.m_Offset +
-                   Duration(static_cast<std::int64_t>(True * Value.m_Rate)));
+  return TimePoint(ThisDaemon.m_Offset + Duration(static_cast<std::int64_t>(
+                                             True * ThisDaemon.m_Rate)));
 }
 
-TimePoint NodeRig::trueTime(const Daemon &Value, TimePoint Local) const {
+TimePoint NodeRig::trueTime(const Daemon &ThisDaemon, TimePoint Local) const {
   if (Local == TimePoint::max())
     return Local;
-  const Duration Since = Local - localTime(Value);
-  const auto Scaled = static_cast<double>(Since.count()) / Value.m_Rate;
+  const Duration Since = Local - localTime(ThisDaemon);
+  const auto Scaled = static_cast<double>(Since.count()) / ThisDaemon.m_Rate;
   return m_Queue.now() + Duration(static_cast<std::int64_t>(Scaled));
 }
 
@@ -116,90 +116,90 @@
 }
 
 void NodeRig::startDaemon(std::size_t Index) {
-  Daemon &Value = m_Daemons[Index];
-  ++Value.m_Run;
-  Value.m_Alive = true;
-  Value.m_Paused = Value.m_ShuttingDown = false;
-  Value.m_LeavingSince.reset();
-  Value.m_Config = ConfigVersion();
-  Value.m_TickAt = TimePoint::max();
+  Daemon &ThisDaemon = m_Daemons[Index];
+  ++ThisDaemon.m_Run;
+  ThisDaemon.m_Alive = true;
+  ThisDaemon.m_Paused = ThisDaemon.m_ShuttingDown = false;
+  ThisDaemon.m_LeavingSince.reset();
+  ThisDaemon.m_Config = ConfigVersion();
+  ThisDaemon.m_NextTickAt = TimePoint::max();
   NodeOptions Options;
   Options.m_Coordinator.m_Instance =
       InstanceName("instance" + std::to_string(Index));
-  Options.m_Coordinator.m_Domain = DomainName(Value.m_Domain);
+  Options.m_Coordinator.m_Domain = DomainName(ThisDaemon.m_Domain);
   Options.m_Coordinator.m_Region = RegionName("r");
-  Options.m_Coordinator.m_Peer = Value.m_Peer;
+  Options.m_Coordinator.m_Peer = ThisDaemon.m_Peer;
   Options.m_Coordinator.m_CallerAddress = "127.0.0.1:80";
   Options.m_Coordinator.m_GroupSize = m_Options.m_GroupSize;
   Options.m_Coordinator.m_Handover = m_Options.m_Handover;
-  Value.m_Node = std::make_unique<Node>(
-      Options, m_Options.m_Seed * 1000 + Index * 100000 + Value.m_Run);
-  call(Index, [](Node &Self, TimePoint Now) { Self.start(Now); });
+  ThisDaemon.m_Node = std::make_unique<Node>(
+      Options, m_Options.m_Seed * 1000 + Index * 100000 + ThisDaemon.m_Run);
+  callNode(Index, [](Node &Self, TimePoint Now) { Self.start(Now); });
   announceTarget(Index);
 }
 
 void NodeRig::announceTarget(std::size_t Index) {
   m_Daemons[Index].m_LeavingSince.reset();
   const ServiceName Service = m_Daemons[Index].m_Service;
-  call(Index, [Service](Node &Self, TimePoint Now) {
+  callNode(Index, [Service](Node &Self, TimePoint Now) {
     Self.onTargetReady(Service, 4, Now);
   });
 }
 
 void NodeRig::killDaemon(std::size_t Index) {
-  Daemon &Value = m_Daemons[Index];
-  if (!Value.m_Alive)
+  Daemon &ThisDaemon = m_Daemons[Index];
+  if (!ThisDaemon.m_Alive)
     return;
-  Value.m_Alive = Value.m_Paused = false;
-  Value.m_Node.reset();
-  Value.m_Inbox.clear();
-  Value.m_TickAt = TimePoint::max();
-  for (auto &[Handle, Attempt] : Value.m_Open)
+  ThisDaemon.m_Alive = ThisDaemon.m_Paused = false;
+  ThisDaemon.m_Node.reset();
+  ThisDaemon.m_Inbox.clear();
+  ThisDaemon.m_NextTickAt = TimePoint::max();
+  for (auto &[Handle, Attempt] : ThisDaemon.m_OpenAttempts)
     if (const auto It = m_Callers.find(Handle); It != m_Callers.end())
-      retryLater(It->second, milliseconds(1000));
-  Value.m_Open.clear();
+      scheduleRetry(It->second, milliseconds(1000));
+  ThisDaemon.m_OpenAttempts.clear();
   std::erase_if(m_Orders, [Index](const auto &Entry) {
     return Entry.second.m_Daemon == Index;
   });
 }
 
 void NodeRig::resumeDaemon(std::size_t Index) {
-  Daemon &Value = m_Daemons[Index];
-  if (!Value.m_Alive || !Value.m_Paused)
+  Daemon &ThisDaemon = m_Daemons[Index];
+  if (!ThisDaemon.m_Alive || !ThisDaemon.m_Paused)
     return;
-  Value.m_Paused = false;
-  for (EventQueue::Action &Waiting : std::exchange(Value.m_Inbox, {}))
+  ThisDaemon.m_Paused = false;
+  for (EventQueue::Action &Waiting : std::exchange(ThisDaemon.m_Inbox, {}))
     Waiting();
   // A waiting event may have ended the shutdown, and with it the node.
-  if (Value.m_Alive)
+  if (ThisDaemon.m_Alive)
     scheduleTick(Index);
 }
 
-void NodeRig::call(std::size_t Index,
-                   std::function<void(Node &, TimePoint)> Event) {
-  Daemon &Value = m_Daemons[Index];
-  if (!Value.m_Alive || failed())
+void NodeRig::callNode(std::size_t Index,
+                       std::function<void(Node &, TimePoint)> Event) {
+  Daemon &ThisDaemon = m_Daemons[Index];
+  if (!ThisDaemon.m_Alive || failed())
     return;
-  if (Value.m_Paused) {
-    Value.m_Inbox.push_back([this, Index, Event, Run = Value.m_Run] {
+  if (ThisDaemon.m_Paused) {
+    ThisDaemon.m_Inbox.push_back([this, Index, Event, Run = ThisDaemon.m_Run] {
       if (m_Daemons[Index].m_Run == Run)
-        call(Index, Event);
+        callNode(Index, Event);
     });
     return;
   }
-  Event(*Value.m_Node, localTime(Value));
-  afterCall(Index);
+  Event(*ThisDaemon.m_Node, localTime(ThisDaemon));
+  afterNodeCall(Index);
 }
 
-void NodeRig::afterCall(std::size_t Index) {
-  for (Effect &Value : m_Daemons[Index].m_Node->takeEffects())
-    carryOut(Index, std::move(Value));
+void NodeRig::afterNodeCall(std::size_t Index) {
+  for (Effect &Pending : m_Daemons[Index].m_Node->takeEffects())
+    applyEffect(Index, std::move(Pending));
   checkOwners();
   checkVersions(Index);
-  if (Daemon &Value = m_Daemons[Index];
-      Value.m_ShuttingDown && Value.m_Node->drained()) {
-    m_Oracle.note("drained " + std::to_string(Index));
-    if (!Value.m_Open.empty())
+  if (Daemon &ThisDaemon = m_Daemons[Index];
+      ThisDaemon.m_ShuttingDown && ThisDaemon.m_Node->drained()) {
+    m_Oracle.addTraceLine("drained " + std::to_string(Index));
+    if (!ThisDaemon.m_OpenAttempts.empty())
       m_Oracle.fail("drained with open requests");
     killDaemon(Index);
     return;
@@ -208,59 +208,61 @@
 }
 
 void NodeRig::scheduleTick(std::size_t Index) {
-  Daemon &Value = m_Daemons[Index];
-  const TimePoint Local = Value.m_Node->nextWake();
+  Daemon &ThisDaemon = m_Daemons[Index];
+  const TimePoint Local = ThisDaemon.m_Node->nextWake();
   if (Local == TimePoint::max())
     return;
-  const TimePoint Wake = std::max(trueTime(Value, Local) + microseconds(1),
+  const TimePoint Wake = std::max(trueTime(ThisDaemon, Local) + microseconds(1),
                                   m_Queue.now() + microseconds(50));
-  if (Wake >= Value.m_TickAt && Value.m_TickAt > m_Queue.now())
+  if (Wake >= ThisDaemon.m_NextTickAt &&
+      ThisDaemon.m_NextTickAt > m_Queue.now())
     return;
-  Value.m_TickAt = Wake;
-  m_Queue.at(Wake, [this, Index, Wake, Run = Value.m_Run] {
+  ThisDaemon.m_NextTickAt = Wake;
+  m_Queue.at(Wake, [this, Index, Wake, Run = ThisDaemon.m_Run] {
     Daemon &Self = m_Daemons[Index];
     if (Self.m_Run != Run || !Self.m_Alive || Self.m_Paused ||
-        Self.m_TickAt != Wake)
+        Self.m_NextTickAt != Wake)
       return;
-    Self.m_TickAt = TimePoint::max();
-    call(Index, [](Node &Each, TimePoint Now) { Each.onTick(Now); });
+    Self.m_NextTickAt = TimePoint::max();
+    callNode(Index, [](Node &Each, TimePoint Now) { Each.onTick(Now); });
   });
 }
 
-void NodeRig::carryOut(std::size_t Index, Effect Value) {
+void NodeRig::applyEffect(std::size_t Index, Effect Requested) {
   const unsigned Run = m_Daemons[Index].m_Run;
-  if (auto *Control = std::get_if<SendControl>(&Value)) {
+  if (auto *Control = std::get_if<SendControl>(&Requested)) {
     send(Index, Control->m_To, std::move(Control->m_Message));
-  } else if (auto *Request = std::get_if<SendRequest>(&Value)) {
+  } else if (auto *Request = std::get_if<SendRequest>(&Requested)) {
     send(Index, Request->m_To, std::move(Request->m_Message));
-  } else if (auto *Read = std::get_if<ReadTable>(&Value)) {
+  } else if (auto *Read = std::get_if<ReadTable>(&Requested)) {
     m_Table.read(Index, Read->m_Read,
                  [this, Index, Run, Ticket = Read->m_Ticket](TableReply Reply) {
                    if (m_Daemons[Index].m_Run == Run)
-                     call(Index, [Ticket, Reply](Node &Self, TimePoint Now) {
-                       Self.onTableReply(Ticket, Reply, Now);
-                     });
+                     callNode(Index,
+                              [Ticket, Reply](Node &Self, TimePoint Now) {
+                                Self.onTableReply(Ticket, Reply, Now);
+                              });
                  });
-  } else if (auto *Commit = std::get_if<CommitTable>(&Value)) {
+  } else if (auto *Commit = std::get_if<CommitTable>(&Requested)) {
     m_Table.commit(
         Index, Commit->m_Transaction,
         [this, Index, Run, Ticket = Commit->m_Ticket](TableReply Reply) {
           if (m_Daemons[Index].m_Run == Run)
-            call(Index, [Ticket, Reply](Node &Self, TimePoint Now) {
+            callNode(Index, [Ticket, Reply](Node &Self, TimePoint Now) {
               Self.onTableReply(Ticket, Reply, Now);
             });
         });
-  } else if (auto *Order = std::get_if<StartOrder>(&Value)) {
+  } else if (auto *Order = std::get_if<StartOrder>(&Requested)) {
     startOrder(Index, std::move(*Order));
-  } else if (auto *Cancel = std::get_if<CancelOrder>(&Value)) {
+  } else if (auto *Cancel = std::get_if<CancelOrder>(&Requested)) {
     m_Queue.after(milliseconds(1), [this, Index, Run, Order = Cancel->m_Order] {
       reportOrder(Index, Run, Order, OrderEnd::Aborted, {}, m_Queue.now());
     });
-  } else if (auto *Answer = std::get_if<AnswerCaller>(&Value)) {
+  } else if (auto *Answer = std::get_if<AnswerCaller>(&Requested)) {
     answer(Index, *Answer);
-  } else if (auto *Reset = std::get_if<ResetPeer>(&Value)) {
-    m_Oracle.note("reset " + std::to_string(Index) + " to " +
-                  Reset->m_Peer.value());
+  } else if (auto *Reset = std::get_if<ResetPeer>(&Requested)) {
+    m_Oracle.addTraceLine("reset " + std::to_string(Index) + " to " +
+                          Reset->m_Peer.value());
     m_Network.reset(Index, indexOf(Reset->m_Peer));
   }
 }
@@ -275,8 +277,8 @@
     const unsigned Run = m_Daemons[From].m_Run;
     m_Queue.after(milliseconds(1), [this, From, To, Run] {
       if (m_Daemons[From].m_Run == Run)
-        call(From,
-             [To](Node &Self, TimePoint Now) { Self.onPeerLost(To, Now); });
+        callNode(From,
+                 [To](Node &Self, TimePoint Now) { Self.onPeerLost(To, Now); });
     });
     return;
   }
@@ -284,9 +286,9 @@
 }
 
 void NodeRig::startOrder(std::size_t Index, StartOrder Order) {
-  Daemon &Value = m_Daemons[Index];
-  checkNewWork(Index, Order);
-  const TimePoint End = trueTime(Value, Order.m_Deadline);
+  Daemon &ThisDaemon = m_Daemons[Index];
+  checkOrderAllowed(Index, Order);
+  const TimePoint Deadline = trueTime(ThisDaemon, Order.m_Deadline);
   const std::string Key =
       Order.m_Meta.m_Service == Keyed ? Order.m_Meta.m_Key : "";
   for (const auto &[Id, Other] : m_Orders)
@@ -295,15 +297,15 @@
       m_Oracle.fail("orders for " + Key + " at " + std::to_string(Index) +
                     " and " + std::to_string(Other.m_Daemon));
   const OrderId Id = Order.m_Order;
-  m_Orders[{Index, Id.value()}] = {Index, Key, End};
-  const unsigned Run = Value.m_Run;
+  m_Orders[{Index, Id.value()}] = {Index, Key, Deadline};
+  const unsigned Run = ThisDaemon.m_Run;
   const TimePoint Started = m_Queue.now();
-  Order.m_Deadline = End;
-  Value.m_Target->start(
-      Order, [this, Index, Run, Id, Started](OrderEnd How, HttpAnswer Http) {
-        reportOrder(Index, Run, Id, How, Http, Started);
+  Order.m_Deadline = Deadline;
+  ThisDaemon.m_Target->start(
+      Order, [this, Index, Run, Id, Started](OrderEnd End, HttpAnswer Http) {
+        reportOrder(Index, Run, Id, End, Http, Started);
       });
-  m_Queue.at(End, [this, Index, Run, Id, Started] {
+  m_Queue.at(Deadline, [this, Index, Run, Id, Started] {
     reportOrder(Index, Run, Id, OrderEnd::Aborted, {}, Started);
   });
 }
@@ -319,35 +321,36 @@
   Report.m_End = End;
   Report.m_Http = Http;
   Report.m_Latency = m_Queue.now() - Started;
-  call(Index,
-       [Report](Node &Self, TimePoint Now) { Self.onOrderEnd(Report, Now); });
+  callNode(Index, [Report](Node &Self, TimePoint Now) {
+    Self.onOrderEnd(Report, Now);
+  });
 }
 
 void NodeRig::answer(std::size_t Index, const AnswerCaller &Answer) {
-  Daemon &Value = m_Daemons[Index];
-  const auto It = Value.m_Open.find(Answer.m_Request);
-  if (It == Value.m_Open.end()) {
+  Daemon &ThisDaemon = m_Daemons[Index];
+  const auto It = ThisDaemon.m_OpenAttempts.find(Answer.m_Request);
+  if (It == ThisDaemon.m_OpenAttempts.end()) {
     m_Oracle.fail("answer to no open request");
     return;
   }
   CallerAttempt Attempt = It->second;
-  Value.m_Open.erase(It);
-  Attempt.m_Calm = calm() && m_CalmSince <= Attempt.m_Sent;
-  if (localTime(Value) > Attempt.m_Deadline + AnswerSlack &&
-      m_CalmSince <= Attempt.m_Sent)
+  ThisDaemon.m_OpenAttempts.erase(It);
+  Attempt.m_FaultFree = isFaultFree() && m_FaultFreeSince <= Attempt.m_Sent;
+  if (localTime(ThisDaemon) > Attempt.m_Deadline + AnswerTolerance &&
+      m_FaultFreeSince <= Attempt.m_Sent)
     m_Oracle.fail("answer after the deadline: " + Attempt.m_Tag);
   m_Oracle.onAnswer(Attempt, Answer);
   const auto Known = m_Callers.find(Answer.m_Request);
   if (Known == m_Callers.end())
     return;
-  const std::shared_ptr<Caller> Who = Known->second;
+  const std::shared_ptr<Caller> Client = Known->second;
   m_Callers.erase(Known);
   const bool Proven =
       Answer.m_Outcome == Outcome::NotRun || Answer.m_Outcome == Outcome::Wait;
   if (Proven)
-    Who->m_Unproven.erase(Attempt.m_Sent);
+    Client->m_UnsettledSends.erase(Attempt.m_Sent);
   if (Answer.m_Outcome != Outcome::Done)
-    retryLater(Who, milliseconds(1000));
+    scheduleRetry(Client, milliseconds(1000));
 }
 
 void NodeRig::checkOwners() {
@@ -355,11 +358,11 @@
     std::string Owners;
     int Count = 0;
     for (std::size_t I = 0; I < m_Daemons.size(); ++I) {
-      const Daemon &Value = m_Daemons[I];
-      if (!Value.m_Alive || Value.m_Service != Keyed)
+      const Daemon &ThisDaemon = m_Daemons[I];
+      if (!ThisDaemon.m_Alive || ThisDaemon.m_Service != Keyed)
         continue;
-      const Permit Answer = Value.m_Node->coordinator().permit(
-          Keyed, hashKey(Key), localTime(Value));
+      const Permit Answer = ThisDaemon.m_Node->coordinator().permit(
+          Keyed, hashKey(Key), localTime(ThisDaemon));
       if (!Answer.m_Granted)
         continue;
       ++Count;
@@ -371,25 +374,26 @@
 }
 
 void NodeRig::checkVersions(std::size_t Index) {
-  Daemon &Value = m_Daemons[Index];
-  const auto Held = Value.m_Node->coordinator().config();
+  Daemon &ThisDaemon = m_Daemons[Index];
+  const auto Held = ThisDaemon.m_Node->coordinator().config();
   const ConfigVersion Now = Held ? Held->m_Version : ConfigVersion();
-  if (Now < Value.m_Config)
+  if (Now < ThisDaemon.m_Config)
     m_Oracle.fail("configuration fell at " + std::to_string(Index));
-  Value.m_Config = Now;
+  ThisDaemon.m_Config = Now;
 }
 
-void NodeRig::checkNewWork(std::size_t Index, const StartOrder &Order) {
-  const Daemon &Value = m_Daemons[Index];
+void NodeRig::checkOrderAllowed(std::size_t Index, const StartOrder &Order) {
+  const Daemon &ThisDaemon = m_Daemons[Index];
   const TimePoint Now = m_Queue.now();
-  m_Oracle.note("start " + Order.m_Http.m_Path + " at " +
-                std::to_string(Index) + " epoch " +
-                std::to_string(Order.m_Epoch.value()));
-  if (Value.m_LeavingSince && Now > *Value.m_LeavingSince + LeaveBound)
+  m_Oracle.addTraceLine("start " + Order.m_Http.m_Path + " at " +
+                        std::to_string(Index) + " epoch " +
+                        std::to_string(Order.m_Epoch.value()));
+  if (ThisDaemon.m_LeavingSince &&
+      Now > *ThisDaemon.m_LeavingSince + MaxNewWorkAfterLeaving)
     m_Oracle.fail("new work at leaving target " + std::to_string(Index));
-  const auto Out = m_OutSince.find(Value.m_Domain);
-  if (Out != m_OutSince.end() && calm() &&
-      Now > std::max(Out->second, m_CalmSince) + DomainOutBound)
+  const auto Out = m_DomainOutSince.find(ThisDaemon.m_Domain);
+  if (Out != m_DomainOutSince.end() && isFaultFree() &&
+      Now > std::max(Out->second, m_FaultFreeSince) + MaxNewWorkAfterDomainOut)
     m_Oracle.fail("new work in the domain taken out at " +
                   std::to_string(Index));
 }
--- a/tests/node_rig.h
+++ b/tests/node_rig.h
@@ -37,7 +37,7 @@
   TableAmbiguous,
   Silence,
   Loss,
-  Doubles,
+  Duplicates,
   Late,
   FreezeTarget,
   ThawTarget,
@@ -85,9 +85,9 @@
     bool m_TargetAnnounced = false;
     std::optional<TimePoint> m_LeavingSince;
     std::vector<EventQueue::Action> m_Inbox;
-    TimePoint m_TickAt = TimePoint::max();
+    TimePoint m_NextTickAt = TimePoint::max();
     ConfigVersion m_Config;
-    std::map<RequestHandle, CallerAttempt> m_Open;
+    std::map<RequestHandle, CallerAttempt> m_OpenAttempts;
   };
 
   /// An order at a target, from its start to its end or deadline.
@@ -101,11 +101,11 @@
   struct Caller {
     RequestMeta m_Meta;
     /// When the attempts that may have run were sent.
-    std::set<TimePoint> m_Unproven;
+    std::set<TimePoint> m_UnsettledSends;
   };
 
-  TimePoint localTime(const Daemon &Value) const;
-  TimePoint trueTime(const Daemon &Value, TimePoint Local) const;
+  TimePoint localTime(const Daemon &ThisDaemon) const;
+  TimePoint trueTime(const Daemon &ThisDaemon, TimePoint Local) const;
   std::size_t indexOf(const PeerAddress &Peer) const;
 
   void startDaemon(std::size_t Index);
@@ -113,10 +113,11 @@
   void killDaemon(std::size_t Index);
   void resumeDaemon(std::size_t Index);
   /// Hands an event to a node, now or when it is resumed.
-  void call(std::size_t Index, std::function<void(Node &, TimePoint)> Event);
-  void afterCall(std::size_t Index);
+  void callNode(std::size_t Index,
+                std::function<void(Node &, TimePoint)> Event);
+  void afterNodeCall(std::size_t Index);
   void scheduleTick(std::size_t Index);
-  void carryOut(std::size_t Index, Effect Value);
+  void applyEffect(std::size_t Index, Effect Requested);
   void send(std::size_t From, const PeerAddress &To, PeerMessage Message);
   void startOrder(std::size_t Index, StartOrder Order);
   void reportOrder(std::size_t Index, unsigned Run, OrderId Order, OrderEnd End,
@@ -124,22 +125,22 @@
   void answer(std::size_t Index, const AnswerCaller &Answer);
 
   void request(std::uint64_t First, std::uint64_t Second);
-  void sendAttempt(const std::shared_ptr<Caller> &Who, std::size_t Index,
+  void sendAttempt(const std::shared_ptr<Caller> &Client, std::size_t Index,
                    Duration Limit);
-  void retryLater(const std::shared_ptr<Caller> &Who, Duration Limit);
+  void scheduleRetry(const std::shared_ptr<Caller> &Client, Duration Limit);
   void changeConfig(const std::function<void(Config &)> &Change);
   void raceConfigs(std::uint64_t First);
   Config currentConfig() const;
   void heal();
-  void markFault() { m_CalmSince = TimePoint::max(); }
-  bool calm() const { return m_CalmSince <= m_Queue.now(); }
+  void markFault() { m_FaultFreeSince = TimePoint::max(); }
+  bool isFaultFree() const { return m_FaultFreeSince <= m_Queue.now(); }
 
   void checkOwners();
   void checkVersions(std::size_t Index);
-  void checkNewWork(std::size_t Index, const StartOrder &Order);
+  void checkOrderAllowed(std::size_t Index, const StartOrder &Order);
   void checkServed();
   /// Writes what each node knows into the trace.
-  void noteStates();
+  void traceNodeStates();
 
   RigOptions m_Options;
   Dice m_Dice;
@@ -151,8 +152,8 @@
   std::vector<std::string> m_Keys;
   std::map<std::pair<std::size_t, std::uint64_t>, ActiveOrder> m_Orders;
   std::map<RequestHandle, std::shared_ptr<Caller>> m_Callers;
-  std::map<std::string, TimePoint> m_OutSince;
-  TimePoint m_CalmSince;
+  std::map<std::string, TimePoint> m_DomainOutSince;
+  TimePoint m_FaultFreeSince;
   std::uint64_t m_LastHandle = 0;
   std::size_t m_Attempts = 0;
   std::size_t m_Ids = 0;
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -13,8 +13,8 @@
 const ServiceName Keyed("timetables");
 const ServiceName Pool("orders");
 constexpr Duration SettleTime = std::chrono::seconds(4);
-constexpr Duration StuckTime = std::chrono::milliseconds(100);
-constexpr std::uint32_t MostAttempts = 5;
+constexpr Duration AnswerGrace = std::chrono::milliseconds(100);
+constexpr std::uint32_t MaxAttempts = 5;
 /// Callers that send again while an attempt is still open.
 constexpr unsigned EarlyRetryPercent = 8;
 constexpr std::size_t BurstSize = 12;
@@ -43,9 +43,9 @@
                       std::uint64_t Second) {
   const std::size_t Index = First % m_Daemons.size();
   const std::size_t Other = Second % m_Daemons.size();
-  Daemon &Value = m_Daemons[Index];
-  m_Oracle.note("== " + nameOf(Kind) + " " + std::to_string(Index) + " " +
-                std::to_string(Other));
+  Daemon &ThisDaemon = m_Daemons[Index];
+  m_Oracle.addTraceLine("== " + nameOf(Kind) + " " + std::to_string(Index) +
+                        " " + std::to_string(Other));
   switch (Kind) {
   case RigAction::Run:
     run(milliseconds(First % 400));
@@ -59,9 +59,9 @@
     break;
   case RigAction::Pause:
     markFault();
-    Value.m_Paused = Value.m_Alive;
+    ThisDaemon.m_Paused = ThisDaemon.m_Alive;
     if (Second % 2 == 0)
-      Value.m_Target->freeze();
+      ThisDaemon.m_Target->freeze();
     break;
   case RigAction::Resume:
     resumeDaemon(Index);
@@ -70,10 +70,10 @@
     markFault();
     killDaemon(Index);
     if (Second % 2 == 0)
-      Value.m_Target->restart();
+      ThisDaemon.m_Target->restart();
     break;
   case RigAction::Restart:
-    if (!Value.m_Alive)
+    if (!ThisDaemon.m_Alive)
       startDaemon(Index);
     break;
   case RigAction::CutPeer:
@@ -106,9 +106,9 @@
     markFault();
     m_Network.m_LossPercent = First % 30;
     break;
-  case RigAction::Doubles:
+  case RigAction::Duplicates:
     markFault();
-    m_Network.m_DoublePercent = First % 40;
+    m_Network.m_DuplicatePercent = First % 40;
     break;
   case RigAction::Late:
     markFault();
@@ -117,24 +117,26 @@
     break;
   case RigAction::FreezeTarget:
     markFault();
-    Value.m_Target->freeze();
+    ThisDaemon.m_Target->freeze();
     break;
   case RigAction::ThawTarget:
-    Value.m_Target->thaw();
+    ThisDaemon.m_Target->thaw();
     break;
   case RigAction::RestartTarget:
     markFault();
-    Value.m_Target->restart();
+    ThisDaemon.m_Target->restart();
     announceTarget(Index);
     break;
   case RigAction::LeaveTarget:
-    if (!Value.m_LeavingSince && Value.m_Alive && !Value.m_Paused)
-      Value.m_LeavingSince = m_Queue.now();
-    call(Index, [](Node &Self, TimePoint Now) { Self.onTargetLeaving(Now); });
+    if (!ThisDaemon.m_LeavingSince && ThisDaemon.m_Alive &&
+        !ThisDaemon.m_Paused)
+      ThisDaemon.m_LeavingSince = m_Queue.now();
+    callNode(Index,
+             [](Node &Self, TimePoint Now) { Self.onTargetLeaving(Now); });
     break;
   case RigAction::DomainOut:
-    changeConfig([&Value](Config &Next) {
-      Next.m_DomainsOut = {DomainName(Value.m_Domain)};
+    changeConfig([&ThisDaemon](Config &Next) {
+      Next.m_DomainsOut = {DomainName(ThisDaemon.m_Domain)};
     });
     break;
   case RigAction::DomainIn:
@@ -151,10 +153,11 @@
     raceConfigs(First);
     break;
   case RigAction::Shutdown:
-    if (Value.m_Alive && !Value.m_Paused) {
-      Value.m_ShuttingDown = true;
-      Value.m_LeavingSince = m_Queue.now();
-      call(Index, [](Node &Self, TimePoint Now) { Self.beginShutdown(Now); });
+    if (ThisDaemon.m_Alive && !ThisDaemon.m_Paused) {
+      ThisDaemon.m_ShuttingDown = true;
+      ThisDaemon.m_LeavingSince = m_Queue.now();
+      callNode(Index,
+               [](Node &Self, TimePoint Now) { Self.beginShutdown(Now); });
     }
     break;
   case RigAction::Heal:
@@ -169,35 +172,36 @@
 }
 
 void NodeRig::request(std::uint64_t First, std::uint64_t Second) {
-  const bool Divided = Second % 4 != 0;
+  const bool DividedByKey = Second % 4 != 0;
   const bool Idempotent = First % 2 == 0;
-  auto Who = std::make_shared<Caller>();
-  Who->m_Meta.m_Id = RequestId("id" + std::to_string(++m_Ids));
-  Who->m_Meta.m_Service = Divided ? Keyed : Pool;
-  Who->m_Meta.m_Class = ClassName(Idempotent ? "read" : "write");
-  Who->m_Meta.m_Idempotent = Idempotent;
-  if (Divided)
-    Who->m_Meta.m_Key = m_Keys[(First / 2) % m_Keys.size()];
-  Who->m_Meta.m_Attempt = 0;
-  sendAttempt(Who, (Second / 4) % m_Daemons.size(),
+  auto Client = std::make_shared<Caller>();
+  Client->m_Meta.m_Id = RequestId("id" + std::to_string(++m_Ids));
+  Client->m_Meta.m_Service = DividedByKey ? Keyed : Pool;
+  Client->m_Meta.m_Class = ClassName(Idempotent ? "read" : "write");
+  Client->m_Meta.m_Idempotent = Idempotent;
+  if (DividedByKey)
+    Client->m_Meta.m_Key = m_Keys[(First / 2) % m_Keys.size()];
+  Client->m_Meta.m_Attempt = 0;
+  sendAttempt(Client, (Second / 4) % m_Daemons.size(),
               milliseconds(200 + First % 1800));
 }
 
-void NodeRig::sendAttempt(const std::shared_ptr<Caller> &Who, std::size_t Index,
-                          Duration Limit) {
-  Daemon &Value = m_Daemons[Index];
-  if (!Value.m_Alive || Value.m_ShuttingDown) {
+void NodeRig::sendAttempt(const std::shared_ptr<Caller> &Client,
+                          std::size_t Index, Duration Limit) {
+  Daemon &ThisDaemon = m_Daemons[Index];
+  if (!ThisDaemon.m_Alive || ThisDaemon.m_ShuttingDown) {
     // The caller knows that it reached nobody.
-    retryLater(Who, Limit);
+    scheduleRetry(Client, Limit);
     return;
   }
   ++m_Attempts;
   const TimePoint Now = m_Queue.now();
-  RequestMeta &Meta = Who->m_Meta;
+  RequestMeta &Meta = Client->m_Meta;
   ++Meta.m_Attempt;
-  Meta.m_FirstAttemptAge =
-      Who->m_Unproven.empty() ? Duration(0) : Now - *Who->m_Unproven.begin();
-  Who->m_Unproven.insert(Now);
+  Meta.m_FirstAttemptAge = Client->m_UnsettledSends.empty()
+                               ? Duration(0)
+                               : Now - *Client->m_UnsettledSends.begin();
+  Client->m_UnsettledSends.insert(Now);
   IncomingRequest Incoming;
   Incoming.m_Handle = RequestHandle(++m_LastHandle);
   Incoming.m_Meta = Meta;
@@ -209,40 +213,42 @@
   Attempt.m_Idempotent = Meta.m_Idempotent;
   Attempt.m_Sent = Now;
   Attempt.m_Daemon = Index;
-  Attempt.m_Run = Value.m_Run;
-  m_Callers[Incoming.m_Handle] = Who;
-  m_Oracle.note("request " + Attempt.m_Tag + " at " + std::to_string(Index) +
-                " " + Meta.m_Key);
+  Attempt.m_Run = ThisDaemon.m_Run;
+  m_Callers[Incoming.m_Handle] = Client;
+  m_Oracle.addTraceLine("request " + Attempt.m_Tag + " at " +
+                        std::to_string(Index) + " " + Meta.m_Key);
   // The daemon counts the deadline from when it reads the request.
-  call(Index, [this, Index, Incoming, Attempt, Limit](Node &Self,
-                                                      TimePoint Local) mutable {
+  callNode(Index, [this, Index, Incoming, Attempt,
+                   Limit](Node &Self, TimePoint Local) mutable {
     Incoming.m_Deadline = Local + Limit;
     Attempt.m_Deadline = Incoming.m_Deadline;
-    m_Daemons[Index].m_Open[Incoming.m_Handle] = Attempt;
+    m_Daemons[Index].m_OpenAttempts[Incoming.m_Handle] = Attempt;
     Self.onCallerRequest(Incoming, Local);
   });
-  if (m_Dice.chance(EarlyRetryPercent) && Meta.m_Attempt < MostAttempts)
+  if (m_Dice.chance(EarlyRetryPercent) && Meta.m_Attempt < MaxAttempts)
     m_Queue.after(m_Dice.between(milliseconds(1), Limit),
-                  [this, Who, Other = m_Dice.below(m_Daemons.size()), Limit] {
-                    sendAttempt(Who, Other, Limit);
-                  });
+                  [this, Client, Other = m_Dice.below(m_Daemons.size()),
+                   Limit] { sendAttempt(Client, Other, Limit); });
   // A caller without an answer gives up a little after its deadline and may
   // try another daemon.
-  m_Queue.after(Limit + StuckTime, [this, Who, Handle = Incoming.m_Handle] {
-    const auto It = m_Callers.find(Handle);
-    if (It == m_Callers.end())
-      return;
-    m_Callers.erase(It);
-    retryLater(Who, milliseconds(1000));
-  });
+  m_Queue.after(Limit + AnswerGrace,
+                [this, Client, Handle = Incoming.m_Handle] {
+                  const auto It = m_Callers.find(Handle);
+                  if (It == m_Callers.end())
+                    return;
+                  m_Callers.erase(It);
+                  scheduleRetry(Client, milliseconds(1000));
+                });
 }
 
-void NodeRig::retryLater(const std::shared_ptr<Caller> &Who, Duration Limit) {
-  if (m_Ending || Who->m_Meta.m_Attempt >= MostAttempts || m_Dice.chance(30))
+void NodeRig::scheduleRetry(const std::shared_ptr<Caller> &Client,
+                            Duration Limit) {
+  if (m_Ending || Client->m_Meta.m_Attempt >= MaxAttempts || m_Dice.chance(30))
     return;
   const std::size_t Index = m_Dice.below(m_Daemons.size());
-  m_Queue.after(m_Dice.between(milliseconds(5), milliseconds(1500)),
-                [this, Who, Index, Limit] { sendAttempt(Who, Index, Limit); });
+  m_Queue.after(
+      m_Dice.between(milliseconds(5), milliseconds(1500)),
+      [this, Client, Index, Limit] { sendAttempt(Client, Index, Limit); });
 }
 
 Config NodeRig::currentConfig() const {
@@ -263,11 +269,11 @@
     return;
   std::map<std::string, TimePoint> OutSince;
   for (const DomainName &Out : Next.m_DomainsOut) {
-    const auto Known = m_OutSince.find(Out.value());
+    const auto Known = m_DomainOutSince.find(Out.value());
     OutSince[Out.value()] =
-        Known == m_OutSince.end() ? m_Queue.now() : Known->second;
+        Known == m_DomainOutSince.end() ? m_Queue.now() : Known->second;
   }
-  m_OutSince = OutSince;
+  m_DomainOutSince = OutSince;
 }
 
 void NodeRig::raceConfigs(std::uint64_t First) {
@@ -294,13 +300,13 @@
   m_Table.heal();
   m_Network.heal();
   for (std::size_t I = 0; I < m_Daemons.size(); ++I) {
-    Daemon &Value = m_Daemons[I];
-    Value.m_Target->thaw();
-    Value.m_Target->m_Cold = false;
-    if (!Value.m_Alive)
+    Daemon &ThisDaemon = m_Daemons[I];
+    ThisDaemon.m_Target->thaw();
+    ThisDaemon.m_Target->m_Cold = false;
+    if (!ThisDaemon.m_Alive)
       startDaemon(I);
     resumeDaemon(I);
-    if (!Value.m_ShuttingDown)
+    if (!ThisDaemon.m_ShuttingDown)
       announceTarget(I);
   }
 }
@@ -316,29 +322,29 @@
   checkServed();
   // Orders and messages from before are gone by now.
   run(SettleTime);
-  m_CalmSince = m_Queue.now();
+  m_FaultFreeSince = m_Queue.now();
 }
 
-void NodeRig::noteStates() {
+void NodeRig::traceNodeStates() {
   for (std::size_t I = 0; I < m_Daemons.size(); ++I) {
     const Daemon &Each = m_Daemons[I];
     if (!Each.m_Alive)
       continue;
     const CoordinatorStatus State =
         Each.m_Node->status(localTime(Each)).m_Coordinator;
-    m_Oracle.note("daemon " + std::to_string(I) + " lease " +
-                  std::to_string(State.m_LeaseHeld) + " members " +
-                  std::to_string(State.m_Members) + " owned " +
-                  std::to_string(State.m_ShardsOwned) + " pending " +
-                  std::to_string(State.m_ShardsPending) + " map " +
-                  std::to_string(State.m_MapVersion) + " leader " +
-                  std::to_string(State.m_Leader));
+    m_Oracle.addTraceLine("daemon " + std::to_string(I) + " lease " +
+                          std::to_string(State.m_LeaseHeld) + " members " +
+                          std::to_string(State.m_Members) + " owned " +
+                          std::to_string(State.m_ShardsOwned) + " pending " +
+                          std::to_string(State.m_ShardsPending) + " map " +
+                          std::to_string(State.m_MapVersion) + " leader " +
+                          std::to_string(State.m_Leader));
     for (const std::string &Key : m_Keys) {
       const Coordinator &Source = Each.m_Node->coordinator();
       const Permit Answer = Source.permit(Keyed, hashKey(Key), localTime(Each));
       if (Source.route(Keyed, hashKey(Key)).m_Local && !Answer.m_Granted)
-        m_Oracle.note("  refuses " + Key + " " +
-                      std::string(toString(Answer.m_Reason)));
+        m_Oracle.addTraceLine("  refuses " + Key + " " +
+                              std::string(toString(Answer.m_Reason)));
     }
   }
 }
@@ -351,13 +357,13 @@
                                  .m_Granted;
     });
     if (!Served && !failed())
-      noteStates();
+      traceNodeStates();
     if (!Served && !failed())
       m_Oracle.fail("not served after 4 s without faults: " + Key);
   }
   for (const Daemon &Each : m_Daemons)
-    for (const auto &[Handle, Attempt] : Each.m_Open)
-      if (localTime(Each) > Attempt.m_Deadline + StuckTime)
+    for (const auto &[Handle, Attempt] : Each.m_OpenAttempts)
+      if (localTime(Each) > Attempt.m_Deadline + AnswerGrace)
         m_Oracle.fail("no answer to " + Attempt.m_Tag);
 }
 
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -18,14 +18,14 @@
 
 RigAction draw(Dice &Random) {
   // Time and requests make up most of the steps.
-  const std::uint64_t Roll = Random.below(100);
-  if (Roll < 40)
+  const std::uint64_t Percentile = Random.below(100);
+  if (Percentile < 40)
     return RigAction::Run;
-  if (Roll < 60)
+  if (Percentile < 60)
     return RigAction::Request;
-  if (Roll < 65)
+  if (Percentile < 65)
     return RigAction::Burst;
-  if (Roll < 69)
+  if (Percentile < 69)
     return RigAction::Heal;
   const auto First = static_cast<std::uint64_t>(RigAction::Pause);
   const auto Count = static_cast<std::uint64_t>(RigAction::Settle) - First;
@@ -83,19 +83,19 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int Count, char **Argv) {
   cxxopts::Options Cli("balsamwheel-soak", "Random soak of several nodes");
   Cli.add_options()("seed", "first seed",
                     cxxopts::value<std::uint64_t>()->default_value("1"))(
       "steps", "steps over all episodes",
       cxxopts::value<std::uint64_t>()->default_value("1000"))("help", "usage");
-  const cxxopts::ParseResult Given = Cli.parse(Count, Words);
-  if (Given.count("help") != 0) {
+  const cxxopts::ParseResult Args = Cli.parse(Count, Argv);
+  if (Args.count("help") != 0) {
     std::cout << Cli.help();
     return 0;
   }
-  const auto First = Given["seed"].as<std::uint64_t>();
-  const auto Steps = Given["steps"].as<std::uint64_t>();
+  const auto First = Args["seed"].as<std::uint64_t>();
+  const auto Steps = Args["steps"].as<std::uint64_t>();
   Totals Sum;
   bool Clean = true;
   for (std::uint64_t Seed = First; Clean && Sum.m_Steps < Steps; ++Seed)
--- a/tests/unit-peer-watch.cpp
+++ b/tests/unit-peer-watch.cpp
@@ -12,8 +12,8 @@
 
 const PeerAddress Self("127.0.0.1:7001");
 const PeerAddress Peer("127.0.0.1:7002");
-constexpr Duration Patience = std::chrono::milliseconds(50);
-constexpr Duration Long = std::chrono::milliseconds(400);
+constexpr Duration MinResetInterval = std::chrono::milliseconds(50);
+constexpr Duration PastProbeTimeout = std::chrono::milliseconds(400);
 
 CoordinatorOptions makeOptions() {
   CoordinatorOptions Options;
@@ -32,21 +32,21 @@
 
 TEST_CASE("a peer that answers no probe is reset") {
   NodeContext Context(makeOptions(), 1);
-  PeerWatch Watch(Context, Patience);
+  PeerWatch Watch(Context, MinResetInterval);
   TimePoint Now{std::chrono::seconds(10)};
   Watch.onSent(Peer, Now);
   CHECK(countResets(Context) == 0);
-  Watch.onTick(Now + Long);
+  Watch.onTick(Now + PastProbeTimeout);
   CHECK(countResets(Context) == 1);
 }
 
 TEST_CASE("a peer that answers its probe is left alone") {
   NodeContext Context(makeOptions(), 1);
-  PeerWatch Watch(Context, Patience);
+  PeerWatch Watch(Context, MinResetInterval);
   TimePoint Now{std::chrono::seconds(10)};
   Watch.onSent(Peer, Now);
   Watch.onProbeReply(Peer, 1);
-  Watch.onTick(Now + Long);
+  Watch.onTick(Now + PastProbeTimeout);
   CHECK(countResets(Context) == 0);
 }
 
