--- a/tests/fake_events.h
+++ b/tests/fake_events.h
@@ -1,4 +1,5 @@
-// A queue of timed actions: the true time of the fuzz rig.
+// A queue of timed actions, which provides the simulated global time of the
+// test rig.
 #pragma once
 
 #include "balsamwheel/coordination.h"
@@ -19,14 +20,16 @@
 
   TimePoint now() const { return m_Now; }
 
-  void at(TimePoint When, Action Perform) {
-    m_Events.emplace(std::max(When, m_Now), std::move(Perform));
+  void at(TimePoint When, Action Callback) {
+    m_Events.emplace(std::max(When, m_Now), std::move(Callback));
   }
-  void after(Duration Delay, Action Perform) {
-    at(m_Now + Delay, std::move(Perform));
+  void after(Duration Delay, Action Callback) {
+    at(m_Now + Delay, std::move(Callback));
   }
 
-  /// Performs the next action up to \p End; false when there is none.
+  /// Runs the next action due by \p End.
+  ///
+  /// \returns false if there is none; the time is then \p End.
   bool step(TimePoint End) {
     if (m_Events.empty() || m_Events.begin()->first > End) {
       m_Now = End;
@@ -43,7 +46,8 @@
   std::multimap<TimePoint, Action> m_Events;
 };
 
-/// Draws that do not depend on the standard library's distributions.
+/// Random draws that are the same with every standard library, whose
+/// distributions may differ.
 class Dice {
 public:
   explicit Dice(std::uint64_t Seed) : m_Engine(Seed) {}
--- a/tests/fake_network.h
+++ b/tests/fake_network.h
@@ -1,5 +1,5 @@
-// A bag of messages between daemons: drops, doubles, delays, reorders, cuts
-// links, and silences connections until they are reset.
+// A simulated network between daemons that drops, duplicates, delays and
+// reorders messages, cuts links, and silences connections until they are reset.
 #pragma once
 
 #include "fake_events.h"
@@ -19,22 +19,24 @@
 
   unsigned m_LossPercent = 0;
   unsigned m_DuplicatePercent = 0;
-  /// Percent of messages that come up to m_LateDelay later than others.
+  /// Percentage of messages that are delayed by up to m_LateDelay more.
   unsigned m_LatePercent = 0;
   Duration m_LateDelay = milliseconds(400);
   Deliver m_Deliver;
 
-  /// Ends every fault but silent connections: only a reset cures those.
+  /// Ends every fault except silent connections, which only a reset restores.
   void heal() {
     m_LossPercent = m_DuplicatePercent = m_LatePercent = 0;
     m_Cut.clear();
   }
 
+  /// Discards all messages from one daemon to another, also those under way.
   void cut(std::size_t From, std::size_t To) { m_Cut.insert({From, To}); }
-  /// What one end sends on the present connection never arrives any more.
+  /// Discards everything that one end sends on the current connection.
   void silence(std::size_t From, std::size_t To) {
     m_Silent.insert({From, To});
   }
+  /// Replaces the connection between two daemons; ends silence() both ways.
   void reset(std::size_t From, std::size_t To) {
     m_Silent.erase({From, To});
     m_Silent.erase({To, From});
--- a/tests/fake_target.h
+++ b/tests/fake_target.h
@@ -1,4 +1,5 @@
-// A target in memory: runs orders, freezes, turns cold, loses its state.
+// A simulated target: runs orders, can freeze, restart, lose its state, and be
+// slow after a cold start.
 #pragma once
 
 #include "fake_events.h"
@@ -11,7 +12,7 @@
 
 namespace balsamwheel::testing {
 
-/// The answer that a target gives to a request.
+/// Returns the body of the target's answer to a request.
 inline std::string answerTo(const RequestId &Id) { return "ran " + Id.value(); }
 
 class FakeTarget {
@@ -23,7 +24,7 @@
       : m_Queue(Queue), m_Dice(Seed) {}
 
   bool m_ChecksFences = false;
-  /// Drops an order whose deadline has passed.
+  /// Whether orders whose deadline has passed are aborted.
   bool m_EnforcesDeadlines = true;
   bool m_Cold = false;
   Duration m_MaxServiceTime = milliseconds(4);
@@ -44,7 +45,7 @@
     m_Cold = true;
   }
 
-  /// \p Order's deadline is in true time.
+  /// Starts an order. Its deadline must be in global time.
   void start(const StartOrder &Order, Done Report) {
     const Duration ServiceTime = m_Dice.between(
         milliseconds(1), m_Cold ? m_MaxServiceTime * 8 : m_MaxServiceTime);
@@ -60,11 +61,11 @@
   }
 
 private:
-  void runUnlessFrozen(EventQueue::Action Perform) {
+  void runUnlessFrozen(EventQueue::Action Callback) {
     if (m_Frozen)
-      m_Deferred.push_back(std::move(Perform));
+      m_Deferred.push_back(std::move(Callback));
     else
-      Perform();
+      Callback();
   }
 
   void execute(const StartOrder &Order, const Done &Report,
--- a/tests/node_oracle.h
+++ b/tests/node_oracle.h
@@ -1,4 +1,5 @@
-// What must always hold, checked from outside of the nodes.
+// The test oracle: checks the invariants of the whole cluster from outside of
+// the nodes.
 #pragma once
 
 #include "balsamwheel/detail/coordination/map_row.h"
@@ -12,19 +13,20 @@
 
 namespace balsamwheel::testing {
 
-/// One try of a caller's request at one daemon.
+/// One attempt of a caller's request, sent to one daemon.
 struct CallerAttempt {
   RequestId m_Id;
-  /// Travels in the request's path, to tell attempts apart at the target.
+  /// Sent as the path of the request, to distinguish attempts at the target.
   std::string m_Tag;
   bool m_Idempotent = true;
   TimePoint m_Sent;
   TimePoint m_Deadline;
   std::size_t m_Daemon = 0;
-  /// Run of the daemon, to forgive what a killed one leaves open.
+  /// Run of the daemon that received the attempt, to ignore what a killed run
+  /// left unanswered.
   unsigned m_Run = 0;
   bool m_Answered = false;
-  /// Nothing but operator commands happened since it was sent.
+  /// No fault has occurred since it was sent; operator commands do not count.
   bool m_FaultFree = false;
 };
 
@@ -46,7 +48,7 @@
   }
   const std::deque<std::string> &trace() const { return m_Trace; }
 
-  /// A target took an order.
+  /// Called when an order takes effect at a target.
   void onRun(const RequestMeta &Meta, const std::string &Tag,
              std::size_t Daemon) {
     addTraceLine("ran " + Meta.m_Id.value() + " " + Tag + " at " +
@@ -58,7 +60,7 @@
     if (!Meta.m_Idempotent && Runs.size() > 1)
       fail("non-idempotent " + Meta.m_Id.value() + " ran twice");
     if (m_NotRunTags.contains(Tag))
-      fail("ran after not_run was told: " + Tag);
+      fail("ran after not_run was answered: " + Tag);
   }
 
   void onAnswer(CallerAttempt &Attempt, const AnswerCaller &Answer) {
@@ -71,7 +73,7 @@
     switch (Answer.m_Outcome) {
     case Outcome::Done:
       if (Answer.m_Http.m_Body != "ran " + Attempt.m_Id.value())
-        fail("answer of another request for " + Attempt.m_Tag);
+        fail("answer of another request sent for " + Attempt.m_Tag);
       return;
     case Outcome::NotRun:
     case Outcome::Wait:
@@ -79,12 +81,12 @@
       return;
     case Outcome::Unknown:
       if (Attempt.m_FaultFree && Answer.m_Reason != Reason::MemoryLost)
-        fail("outcome unknown without a fault: " + Attempt.m_Tag);
+        fail("outcome_unknown answered without a fault: " + Attempt.m_Tag);
       return;
     }
   }
 
-  /// Called for each applied map row.
+  /// Called for each committed map row.
   void onMapRow(const MapRow &Row) {
     for (std::size_t I = 0; I < Row.m_Entries.size(); ++I) {
       const ShardEntry &Now = Row.m_Entries[I];
@@ -92,9 +94,9 @@
           m_Assigned[{Row.m_Service, ShardIndex(static_cast<std::uint32_t>(I) +
                                                 Row.m_Part * ShardsPerRow)}];
       if (Now.m_Epoch < Before.m_Epoch)
-        fail("epoch fell of shard " + std::to_string(I));
+        fail("epoch decreased of shard " + std::to_string(I));
       if (Now.m_Epoch == Before.m_Epoch && Now.m_Owner != Before.m_Owner)
-        fail("owner changed under one epoch of shard " + std::to_string(I));
+        fail("owner changed without a new epoch of shard " + std::to_string(I));
       Before = Now;
     }
   }
@@ -111,12 +113,13 @@
   void checkNotRun(const CallerAttempt &Attempt) {
     m_NotRunTags.insert(Attempt.m_Tag);
     if (m_RanTags.contains(Attempt.m_Tag))
-      fail("not_run told for a request that ran: " + Attempt.m_Tag);
+      fail("not_run answered for a request that ran: " + Attempt.m_Tag);
     if (Attempt.m_Idempotent)
       return;
     for (TimePoint Run : m_RunsOfId[Attempt.m_Id])
       if (Run <= Attempt.m_Sent)
-        fail("not_run told though an earlier attempt ran: " + Attempt.m_Tag);
+        fail("not_run answered although an earlier attempt ran: " +
+             Attempt.m_Tag);
   }
 
   EventQueue &m_Queue;
--- a/tests/node_rig.cpp
+++ b/tests/node_rig.cpp
@@ -1,4 +1,4 @@
-// The nodes of the rig and the effects they ask for.
+// Implements the nodes of the test rig, their effects, and the checks on them.
 #include "node_rig.h"
 
 #include "balsamwheel/detail/coordination/head_row.h"
@@ -14,8 +14,11 @@
 constexpr std::size_t KeyedDaemons = 4;
 constexpr std::uint32_t Shards = 8;
 constexpr std::size_t KeyCount = 12;
-/// Clocks run at most this far apart, in parts of a thousand.
+/// Maximum deviation of a daemon's clock rate from global time, in parts per
+/// thousand.
 constexpr int MaxDriftPermille = 10;
+/// How long a target may still get new orders after it announced its leaving,
+/// and after its domain was taken out.
 constexpr Duration MaxNewWorkAfterLeaving = std::chrono::milliseconds(3000);
 constexpr Duration MaxNewWorkAfterDomainOut = std::chrono::milliseconds(4000);
 constexpr Duration SettleTime = std::chrono::seconds(4);
@@ -94,10 +97,10 @@
 }
 
 TimePoint NodeRig::localTime(const Daemon &ThisDaemon) const {
-  const auto True =
+  const auto Global =
       static_cast<double>(m_Queue.now().time_since_epoch().count());
   return TimePoint(ThisDaemon.m_Offset + Duration(static_cast<std::int64_t>(
-                                             True * ThisDaemon.m_Rate)));
+                                             Global * ThisDaemon.m_Rate)));
 }
 
 TimePoint NodeRig::trueTime(const Daemon &ThisDaemon, TimePoint Local) const {
@@ -170,7 +173,7 @@
   ThisDaemon.m_Paused = false;
   for (EventQueue::Action &Waiting : std::exchange(ThisDaemon.m_Inbox, {}))
     Waiting();
-  // A waiting event may have ended the shutdown, and with it the node.
+  // A waiting event may have completed the shutdown, which destroys the node.
   if (ThisDaemon.m_Alive)
     scheduleTick(Index);
 }
@@ -200,7 +203,7 @@
       ThisDaemon.m_ShuttingDown && ThisDaemon.m_Node->drained()) {
     m_Oracle.addTraceLine("drained " + std::to_string(Index));
     if (!ThisDaemon.m_OpenAttempts.empty())
-      m_Oracle.fail("drained with open requests");
+      m_Oracle.fail("drained although requests are open");
     killDaemon(Index);
     return;
   }
@@ -330,7 +333,7 @@
   Daemon &ThisDaemon = m_Daemons[Index];
   const auto It = ThisDaemon.m_OpenAttempts.find(Answer.m_Request);
   if (It == ThisDaemon.m_OpenAttempts.end()) {
-    m_Oracle.fail("answer to no open request");
+    m_Oracle.fail("answer without an open request");
     return;
   }
   CallerAttempt Attempt = It->second;
@@ -345,9 +348,9 @@
     return;
   const std::shared_ptr<Caller> Client = Known->second;
   m_Callers.erase(Known);
-  const bool Proven =
+  const bool ProvenNotRun =
       Answer.m_Outcome == Outcome::NotRun || Answer.m_Outcome == Outcome::Wait;
-  if (Proven)
+  if (ProvenNotRun)
     Client->m_UnsettledSends.erase(Attempt.m_Sent);
   if (Answer.m_Outcome != Outcome::Done)
     scheduleRetry(Client, milliseconds(1000));
@@ -378,7 +381,8 @@
   const auto Held = ThisDaemon.m_Node->coordinator().config();
   const ConfigVersion Now = Held ? Held->m_Version : ConfigVersion();
   if (Now < ThisDaemon.m_Config)
-    m_Oracle.fail("configuration fell at " + std::to_string(Index));
+    m_Oracle.fail("configuration version decreased at " +
+                  std::to_string(Index));
   ThisDaemon.m_Config = Now;
 }
 
@@ -390,11 +394,11 @@
                         std::to_string(Order.m_Epoch.value()));
   if (ThisDaemon.m_LeavingSince &&
       Now > *ThisDaemon.m_LeavingSince + MaxNewWorkAfterLeaving)
-    m_Oracle.fail("new work at leaving target " + std::to_string(Index));
+    m_Oracle.fail("new order at leaving target " + std::to_string(Index));
   const auto Out = m_DomainOutSince.find(ThisDaemon.m_Domain);
   if (Out != m_DomainOutSince.end() && isFaultFree() &&
       Now > std::max(Out->second, m_FaultFreeSince) + MaxNewWorkAfterDomainOut)
-    m_Oracle.fail("new work in the domain taken out at " +
+    m_Oracle.fail("new order in a domain taken out at " +
                   std::to_string(Index));
 }
 
--- a/tests/node_rig.h
+++ b/tests/node_rig.h
@@ -1,5 +1,5 @@
-// Several nodes over fakes of everything around them, with skewed clocks,
-// faults on command, and an oracle that watches.
+// Test rig: several nodes with skewed clocks on a simulated table, network and
+// targets, with injected faults and an oracle that checks invariants.
 #pragma once
 
 #include "fake_network.h"
@@ -21,7 +21,8 @@
   HandoverMode m_Handover = HandoverMode::SwitchThenResolve;
 };
 
-/// What the fuzzers draw. Operands are reduced to what exists.
+/// Actions that the random tests draw. Operands are reduced modulo the number
+/// of daemons or keys.
 enum class RigAction : std::uint8_t {
   Run,
   Request,
@@ -57,10 +58,11 @@
 public:
   explicit NodeRig(RigOptions Options);
 
-  /// Performs one action. Deterministic in the seed and the operands.
+  /// Performs one action. The effect depends only on the seed, the actions so
+  /// far and the operands.
   void perform(RigAction Kind, std::uint64_t First, std::uint64_t Second);
   void run(Duration Time);
-  /// Ends every fault, waits, and expects that every key is served.
+  /// Ends every fault, waits for recovery, and checks that every key is served.
   void settle();
 
   bool failed() const { return !m_Oracle.violations().empty(); }
@@ -75,7 +77,7 @@
     std::string m_Domain;
     ServiceName m_Service;
     PeerAddress m_Peer;
-    /// Local time = m_Offset + m_Rate * true time.
+    /// Local time = m_Offset + m_Rate * global time.
     double m_Rate = 1;
     Duration m_Offset{0};
     unsigned m_Run = 0;
@@ -90,17 +92,17 @@
     std::map<RequestHandle, CallerAttempt> m_OpenAttempts;
   };
 
-  /// An order at a target, from its start to its end or deadline.
+  /// An order at a target, until its end or its deadline.
   struct ActiveOrder {
     std::size_t m_Daemon = 0;
     std::string m_Key;
     TimePoint m_Deadline;
   };
 
-  /// A request as its caller keeps it over its attempts.
+  /// A request, as its caller keeps it across attempts.
   struct Caller {
     RequestMeta m_Meta;
-    /// When the attempts that may have run were sent.
+    /// Send times of the attempts that may have run.
     std::set<TimePoint> m_UnsettledSends;
   };
 
@@ -112,7 +114,7 @@
   void announceTarget(std::size_t Index);
   void killDaemon(std::size_t Index);
   void resumeDaemon(std::size_t Index);
-  /// Hands an event to a node, now or when it is resumed.
+  /// Passes an event to a node, now or when it is resumed.
   void callNode(std::size_t Index,
                 std::function<void(Node &, TimePoint)> Event);
   void afterNodeCall(std::size_t Index);
@@ -139,7 +141,7 @@
   void checkVersions(std::size_t Index);
   void checkOrderAllowed(std::size_t Index, const StartOrder &Order);
   void checkServed();
-  /// Writes what each node knows into the trace.
+  /// Writes the state of each node to the trace.
   void traceNodeStates();
 
   RigOptions m_Options;
@@ -156,7 +158,7 @@
   TimePoint m_FaultFreeSince;
   std::uint64_t m_LastHandle = 0;
   std::size_t m_Attempts = 0;
-  std::size_t m_Ids = 0;
+  std::size_t m_LastId = 0;
   bool m_Ending = false;
 };
 
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -1,4 +1,5 @@
-// What the fuzzers can do to the rig: callers, faults, operators.
+// Implements the actions of the test rig: caller requests, faults, and operator
+// commands.
 #include "node_rig.h"
 
 #include "balsamwheel/detail/coordination/head_row.h"
@@ -15,7 +16,8 @@
 constexpr Duration SettleTime = std::chrono::seconds(4);
 constexpr Duration AnswerGrace = std::chrono::milliseconds(100);
 constexpr std::uint32_t MaxAttempts = 5;
-/// Callers that send again while an attempt is still open.
+/// Percentage of attempts after which the caller sends the next one before the
+/// answer.
 constexpr unsigned EarlyRetryPercent = 8;
 constexpr std::size_t BurstSize = 12;
 
@@ -175,7 +177,7 @@
   const bool DividedByKey = Second % 4 != 0;
   const bool Idempotent = First % 2 == 0;
   auto Client = std::make_shared<Caller>();
-  Client->m_Meta.m_Id = RequestId("id" + std::to_string(++m_Ids));
+  Client->m_Meta.m_Id = RequestId("id" + std::to_string(++m_LastId));
   Client->m_Meta.m_Service = DividedByKey ? Keyed : Pool;
   Client->m_Meta.m_Class = ClassName(Idempotent ? "read" : "write");
   Client->m_Meta.m_Idempotent = Idempotent;
@@ -190,7 +192,7 @@
                           std::size_t Index, Duration Limit) {
   Daemon &ThisDaemon = m_Daemons[Index];
   if (!ThisDaemon.m_Alive || ThisDaemon.m_ShuttingDown) {
-    // The caller knows that it reached nobody.
+    // The connection is refused, so the caller knows that nothing was sent.
     scheduleRetry(Client, Limit);
     return;
   }
@@ -217,7 +219,7 @@
   m_Callers[Incoming.m_Handle] = Client;
   m_Oracle.addTraceLine("request " + Attempt.m_Tag + " at " +
                         std::to_string(Index) + " " + Meta.m_Key);
-  // The daemon counts the deadline from when it reads the request.
+  // The deadline counts from the moment the daemon reads the request.
   callNode(Index, [this, Index, Incoming, Attempt,
                    Limit](Node &Self, TimePoint Local) mutable {
     Incoming.m_Deadline = Local + Limit;
@@ -229,8 +231,8 @@
     m_Queue.after(m_Dice.between(milliseconds(1), Limit),
                   [this, Client, Other = m_Dice.below(m_Daemons.size()),
                    Limit] { sendAttempt(Client, Other, Limit); });
-  // A caller without an answer gives up a little after its deadline and may
-  // try another daemon.
+  // A caller without an answer gives up shortly after its deadline and may
+  // retry at another daemon.
   m_Queue.after(Limit + AnswerGrace,
                 [this, Client, Handle = Incoming.m_Handle] {
                   const auto It = m_Callers.find(Handle);
@@ -277,7 +279,7 @@
 }
 
 void NodeRig::raceConfigs(std::uint64_t First) {
-  // Two operators start from the same version; the loser must get a conflict.
+  // Two operators commit changes of the same version; exactly one must succeed.
   const Row Current = m_Table.get(ConfigHeadRow);
   const Config Base = currentConfig();
   const Row Head = m_Table.get(HeadRowKey);
@@ -293,7 +295,8 @@
     Accepted += m_Table.commitNow(Commit).m_Status == TableStatus::Ok ? 1 : 0;
   }
   if (Accepted != 1)
-    m_Oracle.fail("racing operators: accepted " + std::to_string(Accepted));
+    m_Oracle.fail("concurrent configuration changes: accepted " +
+                  std::to_string(Accepted));
 }
 
 void NodeRig::heal() {
@@ -318,9 +321,9 @@
     Next.m_Draining.clear();
   });
   run(SettleTime);
-  // A daemon that was shutting down may have left meanwhile.
+  // Other daemons must have taken over from one that completed its shutdown.
   checkServed();
-  // Orders and messages from before are gone by now.
+  // After this, no order or message from before remains.
   run(SettleTime);
   m_FaultFreeSince = m_Queue.now();
 }
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -1,4 +1,4 @@
-// Random soak of the node rig: balsamwheel-soak --seed N --steps N.
+// Random soak test of the node rig: balsamwheel-soak --seed N --steps N.
 #include "node_rig.h"
 
 #include <cxxopts.hpp>
@@ -12,20 +12,21 @@
 
 namespace {
 
-/// Steps after which the rig is healed, checked, and sometimes built anew.
+/// Maximum number of steps of an episode. Each episode uses a new rig.
 constexpr std::uint64_t EpisodeSteps = 150;
+/// Number of steps after which all faults end and the rig is checked.
 constexpr std::uint64_t SettleEvery = 50;
 
 RigAction draw(Dice &Random) {
-  // Time and requests make up most of the steps.
-  const std::uint64_t Percentile = Random.below(100);
-  if (Percentile < 40)
+  // Most steps let time pass or send requests.
+  const std::uint64_t Percent = Random.below(100);
+  if (Percent < 40)
     return RigAction::Run;
-  if (Percentile < 60)
+  if (Percent < 60)
     return RigAction::Request;
-  if (Percentile < 65)
+  if (Percent < 65)
     return RigAction::Burst;
-  if (Percentile < 69)
+  if (Percent < 69)
     return RigAction::Heal;
   const auto First = static_cast<std::uint64_t>(RigAction::Pause);
   const auto Count = static_cast<std::uint64_t>(RigAction::Settle) - First;
@@ -57,7 +58,9 @@
   Sum.m_Unknown += Rig.oracle().answers(Outcome::Unknown);
 }
 
-/// One rig from its start; false on a violation.
+/// Runs a new rig for a number of steps.
+///
+/// \returns false if an invariant was violated.
 bool runEpisode(std::uint64_t Seed, std::uint64_t Steps, Totals &Sum) {
   Dice Random(Seed);
   NodeRig Rig(optionsFor(Seed));
@@ -76,7 +79,7 @@
   for (const std::string &Line : Rig.oracle().trace())
     std::cout << "  " << Line << '\n';
   std::cout << "violation: " << Rig.oracle().violations().front() << '\n'
-            << "repeat: balsamwheel-soak --seed " << Seed << " --steps "
+            << "reproduce: balsamwheel-soak --seed " << Seed << " --steps "
             << Steps << std::endl;
   return false;
 }
@@ -84,10 +87,10 @@
 } // namespace
 
 int main(int Count, char **Argv) {
-  cxxopts::Options Cli("balsamwheel-soak", "Random soak of several nodes");
+  cxxopts::Options Cli("balsamwheel-soak", "Random soak test of several nodes");
   Cli.add_options()("seed", "first seed",
                     cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "steps", "steps over all episodes",
+      "steps", "total steps of all episodes",
       cxxopts::value<std::uint64_t>()->default_value("1000"))("help", "usage");
   const cxxopts::ParseResult Args = Cli.parse(Count, Argv);
   if (Args.count("help") != 0) {
--- a/tests/unit-node-model.cpp
+++ b/tests/unit-node-model.cpp
@@ -1,5 +1,6 @@
-// Stateful model of several nodes: commands of callers, operators and faults,
-// judged by the oracle of the rig.
+// Stateful property tests of several nodes with random caller requests,
+// operator commands and faults; the oracle of the test rig checks the
+// invariants.
 #include "node_rig.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +14,7 @@
 
 namespace {
 
-/// The oracle lives in the rig; the model only counts.
+/// The model only counts steps: the oracle in the rig makes the checks.
 struct Model {
   std::size_t m_Steps = 0;
 };
@@ -71,15 +72,16 @@
 
 } // namespace
 
-TEST_CASE("nodes keep their promises under any mix of faults") {
+TEST_CASE("all invariants hold under random faults") {
   CHECK(checkModel("one group", {}));
 }
 
-TEST_CASE("nodes in several groups keep their promises") {
+TEST_CASE("all invariants hold under random faults in several groups") {
   CHECK(checkModel("several groups", {.m_GroupSize = 3}));
 }
 
-TEST_CASE("nodes that drain before a handover keep their promises") {
+TEST_CASE(
+    "all invariants hold under random faults with drain-then-switch handover") {
   CHECK(checkModel("drain then switch",
                    {.m_Handover = HandoverMode::DrainThenSwitch}));
 }
--- a/tests/unit-peer-watch.cpp
+++ b/tests/unit-peer-watch.cpp
@@ -1,4 +1,4 @@
-// Silent connections are found by probes beside the traffic on them.
+// Tests the detection of unresponsive connections and of duplicate messages.
 #include "balsamwheel/detail/node/peer_watch.h"
 #include "balsamwheel/detail/node/replay_window.h"
 
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("a peer that answers no probe is reset") {
+TEST_CASE("the connection to a peer is reset if no probe reply arrives") {
   NodeContext Context(makeOptions(), 1);
   PeerWatch Watch(Context, MinResetInterval);
   TimePoint Now{std::chrono::seconds(10)};
@@ -40,7 +40,7 @@
   CHECK(countResets(Context) == 1);
 }
 
-TEST_CASE("a peer that answers its probe is left alone") {
+TEST_CASE("the connection to a peer that answers its probe is not reset") {
   NodeContext Context(makeOptions(), 1);
   PeerWatch Watch(Context, MinResetInterval);
   TimePoint Now{std::chrono::seconds(10)};
@@ -50,7 +50,8 @@
   CHECK(countResets(Context) == 0);
 }
 
-TEST_CASE("a stream is new once, and never when it is too old to tell") {
+TEST_CASE(
+    "a stream is accepted once, and never if it is older than the window") {
   ReplayWindow Window;
   constexpr std::uint64_t Run = 7ULL << 32U;
   CHECK(Window.accept(Run | 5U));
