--- a/include/balsamwheel/detail/node/context.h
+++ b/include/balsamwheel/detail/node/context.h
@@ -36,11 +36,11 @@
 
   void emit(Effect Value) { m_Effects.push_back(std::move(Value)); }
 
-  void send(const PeerAddress &To, RequestMessage Message) {
-    if (isSelf(To))
+  void send(const PeerAddress &Receiver, RequestMessage Message) {
+    if (isSelf(Receiver))
       m_Loopback.push_back(std::move(Message));
     else
-      emit(SendRequest{.m_To = To, .m_Message = std::move(Message)});
+      emit(SendRequest{.m_To = Receiver, .m_Message = std::move(Message)});
   }
 
   std::deque<RequestMessage> &loopback() { return m_Loopback; }
--- a/include/balsamwheel/detail/node/entrance.h
+++ b/include/balsamwheel/detail/node/entrance.h
@@ -146,17 +146,17 @@
   void dispatchUnkeyed(RequestHandle Handle, Request &Pending, TimePoint Now);
   std::optional<Destination> ownerOf(const Request &Pending) const;
   std::vector<SessionId> candidatesFor(const Request &Pending) const;
-  void forward(RequestHandle Handle, Request &Pending, const Destination &To,
-               TimePoint Now);
+  void forward(RequestHandle Handle, Request &Pending,
+               const Destination &Receiver, TimePoint Now);
   void hedge(RequestHandle Handle, Request &Pending, TimePoint Now);
 
-  void clearKeyed(RequestHandle Handle, Request &Pending, const Destination &To,
-                  TimePoint Now);
+  void clearKeyed(RequestHandle Handle, Request &Pending,
+                  const Destination &Receiver, TimePoint Now);
   /// Returns a digest of a set of sessions, independent of their order.
   static std::uint64_t digestSessions(const std::vector<Destination> &Sessions);
   void clearUnkeyed(RequestHandle Handle, Request &Pending, TimePoint Now);
   void sendClearingQuery(RequestHandle Handle, Request &Pending,
-                         const Destination &To, TimePoint Now);
+                         const Destination &Receiver, TimePoint Now);
   void onClearingReply(RequestHandle Handle, Request &Pending,
                        const PeerExchange &Asked, const ForwardReply &Reply,
                        TimePoint Now);
@@ -169,7 +169,7 @@
   void recoverExchange(RequestHandle Handle, Request &Pending,
                        std::size_t Index, TimePoint Now);
   PeerExchange &openExchange(RequestHandle Handle, Request &Pending,
-                             ExchangeKind Kind, const Destination &To,
+                             ExchangeKind Kind, const Destination &Receiver,
                              TimePoint Now);
   PeerExchange closeExchange(Request &Pending, std::size_t Index);
 
--- a/include/balsamwheel/detail/node/executor.h
+++ b/include/balsamwheel/detail/node/executor.h
@@ -114,7 +114,7 @@
                   TimePoint Now);
   void answerForwardQuery(const OutcomeQuery &Query, const PeerAddress &From,
                           TimePoint Now);
-  void replyRecord(const OutcomeRecord &Record, const PeerAddress &To,
+  void replyRecord(const OutcomeRecord &Record, const PeerAddress &Receiver,
                    std::uint64_t Stream, const RequestMeta &Meta);
   std::optional<ShardRef> shardFor(const RequestMeta &Meta) const;
   Duration memoryAge(const RequestMeta &Meta, TimePoint Now) const;
@@ -134,10 +134,10 @@
               TimePoint Now);
   void completeRecord(const Job &CurrentJob, const RequestResult &Result,
                       const HttpAnswer &Http, TimePoint Now);
-  void reply(const PeerAddress &To, std::uint64_t Stream,
+  void reply(const PeerAddress &Receiver, std::uint64_t Stream,
              const RequestResult &Result, HttpAnswer Http,
              const RequestMeta &Meta);
-  void sendReply(const PeerAddress &To, ForwardReply Reply,
+  void sendReply(const PeerAddress &Receiver, ForwardReply Reply,
                  const RequestMeta &Meta);
 
   NodeContext &m_Context;
--- a/include/balsamwheel/detail/wire/peer.h
+++ b/include/balsamwheel/detail/wire/peer.h
@@ -27,9 +27,9 @@
 /// never confirmed.
 template <typename T>
 concept PeerTransport =
-    requires(T Transport, const PeerAddress &To, PeerMessage Message) {
-      Transport.send(To, std::move(Message));
-      Transport.reset(To);
+    requires(T Transport, const PeerAddress &Receiver, PeerMessage Message) {
+      Transport.send(Receiver, std::move(Message));
+      Transport.reset(Receiver);
       Transport.stop();
     };
 
--- a/src/node/entrance.cpp
+++ b/src/node/entrance.cpp
@@ -189,29 +189,29 @@
 
 void Entrance::dispatchKeyed(RequestHandle Handle, Request &Pending,
                              TimePoint Now) {
-  const std::optional<Destination> To = ownerOf(Pending);
-  if (!To) {
+  const std::optional<Destination> Receiver = ownerOf(Pending);
+  if (!Receiver) {
     retryRouting(Handle, Pending, {Outcome::Wait, Reason::NoOwner}, Now);
     return;
   }
   const bool SameAssignment =
       !Pending.m_FirstDestination ||
-      (Pending.m_FirstDestination->m_Session == To->m_Session &&
-       Pending.m_FirstDestination->m_Epoch == To->m_Epoch);
+      (Pending.m_FirstDestination->m_Session == Receiver->m_Session &&
+       Pending.m_FirstDestination->m_Epoch == Receiver->m_Epoch);
   if (!Pending.m_Incoming.m_Meta.m_Idempotent &&
       (Pending.m_MustClear || !SameAssignment)) {
-    const auto It = Pending.m_Clearances.find(To->m_Session);
+    const auto It = Pending.m_Clearances.find(Receiver->m_Session);
     const bool Cleared = Pending.m_Cleared &&
                          It != Pending.m_Clearances.end() &&
-                         It->second.m_Epoch == To->m_Epoch;
+                         It->second.m_Epoch == Receiver->m_Epoch;
     if (!Cleared) {
-      clearKeyed(Handle, Pending, *To, Now);
+      clearKeyed(Handle, Pending, *Receiver, Now);
       return;
     }
   }
   if (!Pending.m_FirstDestination)
-    Pending.m_FirstDestination = To;
-  forward(Handle, Pending, *To, Now);
+    Pending.m_FirstDestination = Receiver;
+  forward(Handle, Pending, *Receiver, Now);
 }
 
 std::vector<SessionId> Entrance::candidatesFor(const Request &Pending) const {
@@ -271,17 +271,17 @@
 Entrance::PeerExchange &Entrance::openExchange(RequestHandle Handle,
                                                Request &Pending,
                                                ExchangeKind Kind,
-                                               const Destination &To,
+                                               const Destination &Receiver,
                                                TimePoint Now) {
   PeerExchange Opened;
   Opened.m_Kind = Kind;
   Opened.m_Stream = m_Context.nextStream();
-  Opened.m_Session = To.m_Session;
-  Opened.m_Peer = To.m_Peer;
+  Opened.m_Session = Receiver.m_Session;
+  Opened.m_Peer = Receiver.m_Peer;
   Opened.m_SentAt = Now;
   Opened.m_ReplyTimeout = m_ReceiptTimeout;
   Opened.m_CheckAt = Now + m_ReceiptTimeout;
-  if (m_Context.isSelf(To.m_Peer)) {
+  if (m_Context.isSelf(Receiver.m_Peer)) {
     Opened.m_CheckAt = TimePoint::max();
     m_Context.localRequests()[Opened.m_Stream] = Handle;
   }
@@ -301,21 +301,21 @@
 }
 
 void Entrance::forward(RequestHandle Handle, Request &Pending,
-                       const Destination &To, TimePoint Now) {
+                       const Destination &Receiver, TimePoint Now) {
   const PeerExchange &Opened =
-      openExchange(Handle, Pending, ExchangeKind::Forward, To, Now);
+      openExchange(Handle, Pending, ExchangeKind::Forward, Receiver, Now);
   ForwardRequest Message;
   Message.m_Meta = Pending.m_Incoming.m_Meta;
   Message.m_Http = Pending.m_Incoming.m_Http;
   Message.m_TimeLeft = Pending.m_Incoming.m_Deadline - Now - ReplyMargin;
   Message.m_Stream = Opened.m_Stream;
-  Message.m_To = To.m_Session;
-  Message.m_Epoch = To.m_Epoch;
-  if (const auto It = Pending.m_Clearances.find(To.m_Session);
+  Message.m_To = Receiver.m_Session;
+  Message.m_Epoch = Receiver.m_Epoch;
+  if (const auto It = Pending.m_Clearances.find(Receiver.m_Session);
       It != Pending.m_Clearances.end())
     Message.m_Query = It->second.m_Query;
   reschedule(Handle, Pending);
-  m_Context.send(To.m_Peer, std::move(Message));
+  m_Context.send(Receiver.m_Peer, std::move(Message));
 }
 
 void Entrance::onReceipt(std::uint64_t Stream, TimePoint Now) {
--- a/src/node/entrance_clear.cpp
+++ b/src/node/entrance_clear.cpp
@@ -38,22 +38,22 @@
 }
 
 void Entrance::sendClearingQuery(RequestHandle Handle, Request &Pending,
-                                 const Destination &To, TimePoint Now) {
-  const PeerExchange &Opened =
-      openExchange(Handle, Pending, ExchangeKind::RetryClearance, To, Now);
+                                 const Destination &Receiver, TimePoint Now) {
+  const PeerExchange &Opened = openExchange(
+      Handle, Pending, ExchangeKind::RetryClearance, Receiver, Now);
   OutcomeQuery Query;
   Query.m_Stream = Opened.m_Stream;
   Query.m_Meta = Pending.m_Incoming.m_Meta;
-  Query.m_To = To.m_Session;
+  Query.m_To = Receiver.m_Session;
   Query.m_Asked = Pending.m_Asked;
-  m_Context.send(To.m_Peer, std::move(Query));
+  m_Context.send(Receiver.m_Peer, std::move(Query));
 }
 
 void Entrance::clearKeyed(RequestHandle Handle, Request &Pending,
-                          const Destination &To, TimePoint Now) {
+                          const Destination &Receiver, TimePoint Now) {
   Pending.m_Cleared = false;
   Pending.m_Clearances.clear();
-  sendClearingQuery(Handle, Pending, To, Now);
+  sendClearingQuery(Handle, Pending, Receiver, Now);
   reschedule(Handle, Pending);
 }
 
@@ -71,8 +71,8 @@
     if (Each.m_Service == Pending.m_Incoming.m_Meta.m_Service)
       ServiceMembers.push_back({Each.m_Session, Each.m_Peer, Epoch()});
   Pending.m_Asked = digestSessions(ServiceMembers);
-  for (const Destination &To : ServiceMembers)
-    sendClearingQuery(Handle, Pending, To, Now);
+  for (const Destination &Receiver : ServiceMembers)
+    sendClearingQuery(Handle, Pending, Receiver, Now);
   if (Pending.m_Exchanges.empty())
     retryRouting(Handle, Pending, {Outcome::Wait, Reason::NoOwner}, Now);
   else
--- a/src/node/entrance_silence.cpp
+++ b/src/node/entrance_silence.cpp
@@ -54,11 +54,11 @@
                                std::size_t Index, TimePoint Now) {
   const Duration Patience =
       std::min(Pending.m_Exchanges[Index].m_ReplyTimeout * 2, MaxReplyTimeout);
-  const Destination To{Pending.m_Exchanges[Index].m_Session,
-                       Pending.m_Exchanges[Index].m_Peer, Epoch()};
+  const Destination Receiver{Pending.m_Exchanges[Index].m_Session,
+                             Pending.m_Exchanges[Index].m_Peer, Epoch()};
   if (Pending.m_Exchanges[Index].m_Kind == ExchangeKind::RetryClearance) {
     closeExchange(Pending, Index);
-    sendClearingQuery(Handle, Pending, To, Now);
+    sendClearingQuery(Handle, Pending, Receiver, Now);
     Pending.m_Exchanges.back().m_ReplyTimeout = Patience;
     Pending.m_Exchanges.back().m_CheckAt = Now + Patience;
     return;
@@ -79,17 +79,17 @@
     Forward = closeExchange(Pending, Index).m_Forward;
   else
     Pending.m_Exchanges[Index].m_CheckAt = TimePoint::max();
-  PeerExchange &QueryExchange =
-      openExchange(Handle, Pending, ExchangeKind::ForwardOutcome, To, Now);
+  PeerExchange &QueryExchange = openExchange(
+      Handle, Pending, ExchangeKind::ForwardOutcome, Receiver, Now);
   QueryExchange.m_Forward = Forward;
   QueryExchange.m_ReplyTimeout = Patience;
   QueryExchange.m_CheckAt = Now + Patience;
   OutcomeQuery Query;
   Query.m_Stream = QueryExchange.m_Stream;
   Query.m_Meta = Pending.m_Incoming.m_Meta;
-  Query.m_To = To.m_Session;
+  Query.m_To = Receiver.m_Session;
   Query.m_Forward = Forward;
-  m_Context.send(To.m_Peer, std::move(Query));
+  m_Context.send(Receiver.m_Peer, std::move(Query));
 }
 
 void Entrance::onPeerLost(const PeerAddress &Peer, TimePoint Now) {
--- a/src/node/executor.cpp
+++ b/src/node/executor.cpp
@@ -224,7 +224,7 @@
     completeRecord(CurrentJob, Result, Http, Now);
 }
 
-void Executor::reply(const PeerAddress &To, std::uint64_t Stream,
+void Executor::reply(const PeerAddress &Receiver, std::uint64_t Stream,
                      const RequestResult &Result, HttpAnswer Http,
                      const RequestMeta &Meta) {
   ForwardReply Reply;
@@ -233,10 +233,10 @@
   Reply.m_Reason = Result.m_Reason;
   Reply.m_RetryAfter = Result.m_RetryAfter;
   Reply.m_Http = std::move(Http);
-  sendReply(To, std::move(Reply), Meta);
+  sendReply(Receiver, std::move(Reply), Meta);
 }
 
-void Executor::sendReply(const PeerAddress &To, ForwardReply Reply,
+void Executor::sendReply(const PeerAddress &Receiver, ForwardReply Reply,
                          const RequestMeta &Meta) {
   if (shardFor(Meta)) {
     const Route Current =
@@ -244,7 +244,7 @@
     Reply.m_Owner = Current.m_Owner;
     Reply.m_Epoch = Current.m_Epoch;
   }
-  m_Context.send(To, std::move(Reply));
+  m_Context.send(Receiver, std::move(Reply));
 }
 
 void Executor::onCancel(std::uint64_t Stream, const PeerAddress &From,
--- a/src/node/executor_outcomes.cpp
+++ b/src/node/executor_outcomes.cpp
@@ -160,25 +160,27 @@
   sendReply(From, std::move(Reply), Meta);
 }
 
-void Executor::replyRecord(const OutcomeRecord &Record, const PeerAddress &To,
-                           std::uint64_t Stream, const RequestMeta &Meta) {
+void Executor::replyRecord(const OutcomeRecord &Record,
+                           const PeerAddress &Receiver, std::uint64_t Stream,
+                           const RequestMeta &Meta) {
   switch (Record.m_State) {
   case RecordState::Pending:
   case RecordState::Running:
-    findRecord(Meta)->m_Waiters.push_back({.m_From = To,
+    findRecord(Meta)->m_Waiters.push_back({.m_From = Receiver,
                                            .m_Stream = Stream,
                                            .m_IsQuery = false,
                                            .m_Message = {}});
     return;
   case RecordState::Done:
     if (Record.m_HasAnswer)
-      reply(To, Stream, {Outcome::Done, Reason::None}, Record.m_Http, Meta);
+      reply(Receiver, Stream, {Outcome::Done, Reason::None}, Record.m_Http,
+            Meta);
     else
-      reply(To, Stream, {Outcome::Unknown, Reason::AlreadyRan}, {}, Meta);
+      reply(Receiver, Stream, {Outcome::Unknown, Reason::AlreadyRan}, {}, Meta);
     return;
   case RecordState::Unknown:
   case RecordState::Cleared:
-    reply(To, Stream, {Outcome::Unknown, Record.m_Reason}, {}, Meta);
+    reply(Receiver, Stream, {Outcome::Unknown, Record.m_Reason}, {}, Meta);
     return;
   }
 }
--- a/tests/fake_network.h
+++ b/tests/fake_network.h
@@ -11,8 +11,8 @@
 
 class FakeNetwork {
 public:
-  using Deliver =
-      std::function<void(std::size_t To, std::size_t From, PeerMessage)>;
+  using Deliver = std::function<void(std::size_t Receiver, std::size_t Sender,
+                                     PeerMessage)>;
 
   FakeNetwork(EventQueue &Queue, std::uint64_t Seed)
       : m_Queue(Queue), m_Dice(Seed) {}
@@ -27,31 +27,35 @@
   /// Ends every fault except silent connections, which only a reset restores.
   void heal() {
     m_LossPercent = m_DuplicatePercent = m_LatePercent = 0;
-    m_Cut.clear();
+    m_CutLinks.clear();
   }
 
   /// Discards all messages from one daemon to another, also those under way.
-  void cut(std::size_t From, std::size_t To) { m_Cut.insert({From, To}); }
+  void cut(std::size_t Sender, std::size_t Receiver) {
+    m_CutLinks.insert({Sender, Receiver});
+  }
   /// Discards everything that one end sends on the current connection.
-  void silence(std::size_t From, std::size_t To) {
-    m_Silent.insert({From, To});
+  void silence(std::size_t Sender, std::size_t Receiver) {
+    m_SilentLinks.insert({Sender, Receiver});
   }
   /// Replaces the connection between two daemons; ends silence() both ways.
-  void reset(std::size_t From, std::size_t To) {
-    m_Silent.erase({From, To});
-    m_Silent.erase({To, From});
+  void reset(std::size_t Sender, std::size_t Receiver) {
+    m_SilentLinks.erase({Sender, Receiver});
+    m_SilentLinks.erase({Receiver, Sender});
   }
-  bool anyCut() const { return !m_Cut.empty(); }
-  bool anySilent() const { return !m_Silent.empty(); }
+  bool anyCut() const { return !m_CutLinks.empty(); }
+  bool anySilent() const { return !m_SilentLinks.empty(); }
 
-  void send(std::size_t From, std::size_t To, const PeerMessage &Message) {
-    if (m_Silent.contains({From, To}) || m_Dice.chance(m_LossPercent))
+  void send(std::size_t Sender, std::size_t Receiver,
+            const PeerMessage &Message) {
+    if (m_SilentLinks.contains({Sender, Receiver}) ||
+        m_Dice.chance(m_LossPercent))
       return;
     const int Copies = m_Dice.chance(m_DuplicatePercent) ? 2 : 1;
     for (int Copy = 0; Copy < Copies; ++Copy)
-      m_Queue.after(delay(), [this, From, To, Message] {
-        if (!m_Cut.contains({From, To}))
-          m_Deliver(To, From, Message);
+      m_Queue.after(delay(), [this, Sender, Receiver, Message] {
+        if (!m_CutLinks.contains({Sender, Receiver}))
+          m_Deliver(Receiver, Sender, Message);
       });
   }
 
@@ -65,8 +69,8 @@
 
   EventQueue &m_Queue;
   Dice m_Dice;
-  std::set<std::pair<std::size_t, std::size_t>> m_Cut;
-  std::set<std::pair<std::size_t, std::size_t>> m_Silent;
+  std::set<std::pair<std::size_t, std::size_t>> m_CutLinks;
+  std::set<std::pair<std::size_t, std::size_t>> m_SilentLinks;
 };
 
 } // namespace balsamwheel::testing
--- a/tests/fake_target.h
+++ b/tests/fake_target.h
@@ -17,8 +17,8 @@
 
 class FakeTarget {
 public:
-  using Done = std::function<void(OrderEnd, HttpAnswer)>;
-  using Ran = std::function<void(const StartOrder &)>;
+  using EndCallback = std::function<void(OrderEnd, HttpAnswer)>;
+  using RunCallback = std::function<void(const StartOrder &)>;
 
   FakeTarget(EventQueue &Queue, std::uint64_t Seed)
       : m_Queue(Queue), m_Dice(Seed) {}
@@ -29,7 +29,7 @@
   bool m_Cold = false;
   Duration m_MaxServiceTime = milliseconds(4);
   /// Called when an order takes effect.
-  Ran m_OnRun;
+  RunCallback m_OnRun;
 
   void freeze() { m_Frozen = true; }
   void thaw() {
@@ -46,7 +46,7 @@
   }
 
   /// Starts an order. Its deadline must be in global time.
-  void start(const StartOrder &Order, Done Report) {
+  void start(const StartOrder &Order, EndCallback Report) {
     const Duration ServiceTime = m_Dice.between(
         milliseconds(1), m_Cold ? m_MaxServiceTime * 8 : m_MaxServiceTime);
     m_Queue.after(ServiceTime / 2,
@@ -68,7 +68,7 @@
       Callback();
   }
 
-  void execute(const StartOrder &Order, const Done &Report,
+  void execute(const StartOrder &Order, const EndCallback &Report,
                Duration ServiceTime) {
     if (m_EnforcesDeadlines && m_Queue.now() > Order.m_Deadline) {
       Report(OrderEnd::Aborted, {});
--- a/tests/node_oracle.h
+++ b/tests/node_oracle.h
@@ -89,15 +89,16 @@
   /// Called for each committed map row.
   void onMapRow(const MapRow &Row) {
     for (std::size_t I = 0; I < Row.m_Entries.size(); ++I) {
-      const ShardEntry &Now = Row.m_Entries[I];
-      ShardEntry &Before =
+      const ShardEntry &Current = Row.m_Entries[I];
+      ShardEntry &Previous =
           m_Assigned[{Row.m_Service, ShardIndex(static_cast<std::uint32_t>(I) +
                                                 Row.m_Part * ShardsPerRow)}];
-      if (Now.m_Epoch < Before.m_Epoch)
+      if (Current.m_Epoch < Previous.m_Epoch)
         fail("epoch decreased of shard " + std::to_string(I));
-      if (Now.m_Epoch == Before.m_Epoch && Now.m_Owner != Before.m_Owner)
+      if (Current.m_Epoch == Previous.m_Epoch &&
+          Current.m_Owner != Previous.m_Owner)
         fail("owner changed without a new epoch of shard " + std::to_string(I));
-      Before = Now;
+      Previous = Current;
     }
   }
 
--- a/tests/node_rig.cpp
+++ b/tests/node_rig.cpp
@@ -56,14 +56,14 @@
     : m_Options(Options), m_Dice(Options.m_Seed), m_Oracle(m_Queue),
       m_Table(m_Queue, Options.m_Seed + 1),
       m_Network(m_Queue, Options.m_Seed + 2), m_FaultFreeSince(m_Queue.now()) {
-  m_Network.m_Deliver = [this](std::size_t To, std::size_t From,
+  m_Network.m_Deliver = [this](std::size_t Receiver, std::size_t Sender,
                                const PeerMessage &Message) {
-    const PeerAddress Sender = m_Daemons[From].m_Peer;
-    callNode(To, [Message, Sender](Node &Receiver, TimePoint Now) {
+    const PeerAddress SenderAddress = m_Daemons[Sender].m_Peer;
+    callNode(Receiver, [Message, SenderAddress](Node &Self, TimePoint Now) {
       if (const auto *Control = std::get_if<ControlMessage>(&Message))
-        Receiver.onControl(*Control, Sender, Now);
+        Self.onControl(*Control, SenderAddress, Now);
       else if (const auto *Request = std::get_if<RequestMessage>(&Message))
-        Receiver.onRequest(*Request, Sender, Now);
+        Self.onRequest(*Request, SenderAddress, Now);
     });
   };
   m_Table.m_OnCommit = [this](const Transaction &Commit) {
@@ -270,22 +270,23 @@
   }
 }
 
-void NodeRig::send(std::size_t From, const PeerAddress &To,
+void NodeRig::send(std::size_t Sender, const PeerAddress &Receiver,
                    PeerMessage Message) {
-  const std::size_t Index = indexOf(To);
+  const std::size_t Index = indexOf(Receiver);
   if (Index == m_Daemons.size())
     return;
   if (!m_Daemons[Index].m_Alive) {
     // The connection is refused.
-    const unsigned Run = m_Daemons[From].m_Run;
-    m_Queue.after(milliseconds(1), [this, From, To, Run] {
-      if (m_Daemons[From].m_Run == Run)
-        callNode(From,
-                 [To](Node &Self, TimePoint Now) { Self.onPeerLost(To, Now); });
+    const unsigned Run = m_Daemons[Sender].m_Run;
+    m_Queue.after(milliseconds(1), [this, Sender, Receiver, Run] {
+      if (m_Daemons[Sender].m_Run == Run)
+        callNode(Sender, [Receiver](Node &Self, TimePoint Now) {
+          Self.onPeerLost(Receiver, Now);
+        });
     });
     return;
   }
-  m_Network.send(From, Index, Message);
+  m_Network.send(Sender, Index, Message);
 }
 
 void NodeRig::startOrder(std::size_t Index, StartOrder Order) {
@@ -378,12 +379,12 @@
 
 void NodeRig::checkVersions(std::size_t Index) {
   Daemon &ThisDaemon = m_Daemons[Index];
-  const auto Held = ThisDaemon.m_Node->coordinator().config();
-  const ConfigVersion Now = Held ? Held->m_Version : ConfigVersion();
-  if (Now < ThisDaemon.m_Config)
+  const auto Applied = ThisDaemon.m_Node->coordinator().config();
+  const ConfigVersion Current = Applied ? Applied->m_Version : ConfigVersion();
+  if (Current < ThisDaemon.m_Config)
     m_Oracle.fail("configuration version decreased at " +
                   std::to_string(Index));
-  ThisDaemon.m_Config = Now;
+  ThisDaemon.m_Config = Current;
 }
 
 void NodeRig::checkOrderAllowed(std::size_t Index, const StartOrder &Order) {
--- a/tests/node_rig.h
+++ b/tests/node_rig.h
@@ -120,7 +120,8 @@
   void afterNodeCall(std::size_t Index);
   void scheduleTick(std::size_t Index);
   void applyEffect(std::size_t Index, Effect Requested);
-  void send(std::size_t From, const PeerAddress &To, PeerMessage Message);
+  void send(std::size_t Sender, const PeerAddress &Receiver,
+            PeerMessage Message);
   void startOrder(std::size_t Index, StartOrder Order);
   void reportOrder(std::size_t Index, unsigned Run, OrderId Order, OrderEnd End,
                    const HttpAnswer &Http, TimePoint Started);
