--- a/src/node/entrance.cpp
+++ b/src/node/entrance.cpp
@@ -29,9 +29,9 @@
 /// Upper bound of the time from a caller's sending of a request to its receipt
 /// by this daemon.
 constexpr Duration MaxCallerTransit = std::chrono::milliseconds(500);
-/// Upper bound of how much later than this daemon another one learns of a new
-/// member: the lease that it holds by its leader's last acknowledgement, plus
-/// one heartbeat interval.
+/// Upper bound of how much later than this daemon another daemon learns of a
+/// new member: the lease that the other daemon holds through its leader's last
+/// acknowledgement, plus one heartbeat interval.
 constexpr Duration MaxMemberViewLag = std::chrono::milliseconds(2400);
 
 } // namespace
--- a/src/node/entrance_silence.cpp
+++ b/src/node/entrance_silence.cpp
@@ -22,7 +22,8 @@
   const bool SessionEnded =
       m_Context.coordinator().findMember(Each.m_Session) == nullptr;
   if (SessionEnded) {
-    // The session has ended, so the outcome cannot be determined any more.
+    // The session has ended permanently, so the outcome cannot be determined
+    // any more.
     const PeerExchange Lost = closeExchange(Pending, Index);
     ForwardReply Unknown;
     Unknown.m_Reason = Reason::PeerLost;
@@ -52,15 +53,15 @@
 
 void Entrance::recoverExchange(RequestHandle Handle, Request &Pending,
                                std::size_t Index, TimePoint Now) {
-  const Duration Patience =
+  const Duration ReplyTimeout =
       std::min(Pending.m_Exchanges[Index].m_ReplyTimeout * 2, MaxReplyTimeout);
   const Destination Receiver{Pending.m_Exchanges[Index].m_Session,
                              Pending.m_Exchanges[Index].m_Peer, Epoch()};
   if (Pending.m_Exchanges[Index].m_Kind == ExchangeKind::RetryClearance) {
     closeExchange(Pending, Index);
     sendClearingQuery(Handle, Pending, Receiver, Now);
-    Pending.m_Exchanges.back().m_ReplyTimeout = Patience;
-    Pending.m_Exchanges.back().m_CheckAt = Now + Patience;
+    Pending.m_Exchanges.back().m_ReplyTimeout = ReplyTimeout;
+    Pending.m_Exchanges.back().m_CheckAt = Now + ReplyTimeout;
     return;
   }
   if (Pending.m_Incoming.m_Meta.m_Idempotent) {
@@ -82,8 +83,8 @@
   PeerExchange &QueryExchange = openExchange(
       Handle, Pending, ExchangeKind::ForwardOutcome, Receiver, Now);
   QueryExchange.m_Forward = Forward;
-  QueryExchange.m_ReplyTimeout = Patience;
-  QueryExchange.m_CheckAt = Now + Patience;
+  QueryExchange.m_ReplyTimeout = ReplyTimeout;
+  QueryExchange.m_CheckAt = Now + ReplyTimeout;
   OutcomeQuery Query;
   Query.m_Stream = QueryExchange.m_Stream;
   Query.m_Meta = Pending.m_Incoming.m_Meta;
--- a/tests/node_rig.cpp
+++ b/tests/node_rig.cpp
@@ -22,6 +22,7 @@
 constexpr Duration MaxNewWorkAfterLeaving = std::chrono::milliseconds(3000);
 constexpr Duration MaxNewWorkAfterDomainOut = std::chrono::milliseconds(4000);
 constexpr Duration SettleTime = std::chrono::seconds(4);
+/// How long after its deadline an answer may be given.
 constexpr Duration AnswerTolerance = std::chrono::milliseconds(1);
 
 const ServiceName Keyed("timetables");
@@ -103,7 +104,7 @@
                                              Global * ThisDaemon.m_Rate)));
 }
 
-TimePoint NodeRig::trueTime(const Daemon &ThisDaemon, TimePoint Local) const {
+TimePoint NodeRig::globalTime(const Daemon &ThisDaemon, TimePoint Local) const {
   if (Local == TimePoint::max())
     return Local;
   const Duration Since = Local - localTime(ThisDaemon);
@@ -215,8 +216,9 @@
   const TimePoint Local = ThisDaemon.m_Node->nextWake();
   if (Local == TimePoint::max())
     return;
-  const TimePoint Wake = std::max(trueTime(ThisDaemon, Local) + microseconds(1),
-                                  m_Queue.now() + microseconds(50));
+  const TimePoint Wake =
+      std::max(globalTime(ThisDaemon, Local) + microseconds(1),
+               m_Queue.now() + microseconds(50));
   if (Wake >= ThisDaemon.m_NextTickAt &&
       ThisDaemon.m_NextTickAt > m_Queue.now())
     return;
@@ -292,7 +294,7 @@
 void NodeRig::startOrder(std::size_t Index, StartOrder Order) {
   Daemon &ThisDaemon = m_Daemons[Index];
   checkOrderAllowed(Index, Order);
-  const TimePoint Deadline = trueTime(ThisDaemon, Order.m_Deadline);
+  const TimePoint Deadline = globalTime(ThisDaemon, Order.m_Deadline);
   const std::string Key =
       Order.m_Meta.m_Service == Keyed ? Order.m_Meta.m_Key : "";
   for (const auto &[Id, Other] : m_Orders)
--- a/tests/node_rig.h
+++ b/tests/node_rig.h
@@ -107,7 +107,7 @@
   };
 
   TimePoint localTime(const Daemon &ThisDaemon) const;
-  TimePoint trueTime(const Daemon &ThisDaemon, TimePoint Local) const;
+  TimePoint globalTime(const Daemon &ThisDaemon, TimePoint Local) const;
   std::size_t indexOf(const PeerAddress &Peer) const;
 
   void startDaemon(std::size_t Index);
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -13,12 +13,16 @@
 
 const ServiceName Keyed("timetables");
 const ServiceName Pool("orders");
+/// Time in which the cluster must recover once all faults have ended.
 constexpr Duration SettleTime = std::chrono::seconds(4);
+/// How long after its deadline a request may remain without an answer.
 constexpr Duration AnswerGrace = std::chrono::milliseconds(100);
+/// Maximum number of attempts of one request.
 constexpr std::uint32_t MaxAttempts = 5;
 /// Percentage of attempts after which the caller sends the next one before the
 /// answer.
 constexpr unsigned EarlyRetryPercent = 8;
+/// Number of requests of a burst.
 constexpr std::size_t BurstSize = 12;
 
 } // namespace
