--- a/include/balsamwheel/detail/router/table_mirror.h
+++ b/include/balsamwheel/detail/router/table_mirror.h
@@ -1,5 +1,5 @@
-// What this daemon knows of the platform's table, from the table itself or
-// passed on by other daemons.
+// This daemon's copy of the platform's tables, received from the table itself
+// or from other daemons.
 #pragma once
 
 #include "balsamwheel/detail/platform/table.h"
@@ -13,9 +13,9 @@
 
 /// The tables that are mirrored.
 enum class TableName : std::uint8_t {
-  /// Written by operators: configuration, evacuations.
+  /// Written by operators: configuration and evacuations.
   Operators,
-  /// Written by the daemons: members, key maps.
+  /// Written by the daemons: members and key maps.
   Own,
 };
 
@@ -24,28 +24,31 @@
   TableName m_Table = TableName::Own;
   RowKey m_Key;
   RowVersion m_Version;
-  /// None when the row was dropped in this version.
+  /// None when the row was removed in this version.
   std::optional<std::string> m_Value;
 };
 
-/// Invariant: a row's version never goes back, whatever arrives late.
+/// Invariant: the version of a row never decreases, even when older versions
+/// arrive late.
 class TableMirror {
 public:
-  /// \returns whether the row is newer than what was known of it.
+  /// Stores the row if it is newer than the known version.
+  /// \returns whether it was.
   bool apply(const MirroredRow &Row);
-  /// Drops the rows of a table that a whole read as of \p ReadVersion doesn't
-  /// hold. \returns the keys that were dropped.
+  /// Removes the rows of a table that are missing from a complete read as of \p
+  /// ReadVersion.
+  /// \returns the keys of the removed rows.
   std::vector<RowKey> dropMissing(TableName Table,
                                   const std::vector<MirroredRow> &Read,
                                   RowVersion ReadVersion);
 
-  /// Null when the row is unknown or dropped.
+  /// Null when the row is unknown or removed.
   const MirroredRow *find(TableName Table, const RowKey &Key) const;
   std::vector<const MirroredRow *> withPrefix(TableName Table,
                                               const std::string &Prefix) const;
-  /// Rows with a higher version, dropped ones included.
+  /// Rows with a version above \p Since, including removed ones.
   std::vector<MirroredRow> newerThan(TableName Table, RowVersion Since) const;
-  /// Highest version applied.
+  /// Highest version of all rows applied.
   RowVersion seen(TableName Table) const;
 
 private:
--- a/src/link/frame_headers.h
+++ b/src/link/frame_headers.h
@@ -1,4 +1,4 @@
-// HTTP headers in the frames between daemons.
+// Conversion of HTTP headers to and from the frames between daemons.
 #pragma once
 
 #include "peer_link.h"
--- a/src/link/peer_link.cpp
+++ b/src/link/peer_link.cpp
@@ -1,4 +1,4 @@
-// Framing and checks of the connections between daemons.
+// Framing and verification on the connections between daemons.
 #include "peer_link.h"
 
 #include <array>
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Length of the frame and of the body, both 32 bits, little endian.
+/// Size of the lengths of frame and body: 32 bits each, little endian.
 constexpr std::size_t PrefixSize = 8;
-/// What the kernel holds of a link's output: the rest waits here, where small
-/// frames of other links can pass.
+/// Size of a link's send buffer in the kernel. Further output waits in this
+/// process, where small frames of other links can overtake it.
 constexpr int KernelBuffer = 32768;
-/// Input buffers above this are given back when they are empty.
+/// An empty input buffer with a larger capacity in bytes is released.
 constexpr std::size_t KeptInput = 4096;
 
 std::uint32_t readLength(const char *From) {
--- a/src/link/peer_link.h
+++ b/src/link/peer_link.h
@@ -1,5 +1,5 @@
-// Framed connections between the daemons of instances: a length, a FlatBuffers
-// frame, then the body of a request or answer.
+// Framed connections between the daemons of instances. On the wire a frame is
+// two lengths, a FlatBuffers frame, and the body of a request or answer.
 #pragma once
 
 #include "link_generated.h"
@@ -14,22 +14,24 @@
 using LinkFrame = link_wire::FrameT;
 using LinkFrameKind = link_wire::Kind;
 
-/// A frame that is larger ends the connection.
+/// Maximum size of a frame with its body, in bytes; a larger one ends the
+/// connection.
 inline constexpr std::size_t MaxLinkFrame = std::size_t{80} << 20;
 
-/// Text on the wire of a frame and its body.
+/// Encodes a frame and its body for the wire.
 std::string encodeFrame(const LinkFrame &Frame, std::string_view Body);
 
 struct PeerLinkEvents {
   std::function<void()> m_OnOpen;
   std::function<void(std::unique_ptr<LinkFrame>, std::string Body)> m_OnFrame;
-  /// At most once.
+  /// The connection failed or the peer closed it. Called at most once.
   std::function<void(const char *Why)> m_OnEnd;
-  /// All that was sent has left the process.
+  /// All bytes that were sent have been handed to the kernel.
   std::function<void()> m_OnDrained;
 };
 
-/// One connection. Invariant: frames arrive whole, in order, checked.
+/// One connection. Invariant: frames are delivered complete, in order and
+/// verified.
 class PeerLink {
 public:
   PeerLink(EventLoop &Loop, PeerLinkEvents Events);
@@ -41,14 +43,15 @@
   void sendEncoded(std::string_view Text) { m_Stream.write(Text); }
   void close() { m_Stream.close(); }
   bool isOpen() const { return m_Stream.isOpen(); }
-  /// When bytes last arrived.
+  /// Time at which bytes last arrived.
   TimePoint lastHeard() const { return m_LastHeard; }
-  /// Bytes that the other side hasn't taken yet.
+  /// Bytes that haven't been written to the socket yet.
   std::size_t pending() const { return m_Stream.pending(); }
 
 private:
   void received(std::string_view Bytes);
-  /// \returns false when the connection has been given up.
+  /// Delivers the frame at \p Used if it has arrived completely.
+  /// \returns false when it hasn't, or when the connection has ended.
   bool takeFrame(std::size_t &Used);
   void fail(const char *Why);
 
--- a/src/router/entrance.cpp
+++ b/src/router/entrance.cpp
@@ -1,4 +1,4 @@
-// The way of a caller's request, from reading it to its one answer.
+// Handling of a caller's request, from reading it to its one answer.
 #include "entrance.h"
 
 #include "link/frame_headers.h"
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// An owner's daemon that has been out of reach for longer isn't waited for.
+/// Requests aren't held for an owner whose daemon has been unreachable for
+/// longer.
 constexpr Duration ShortOutage = std::chrono::milliseconds(700);
-/// Answer to callers whose request fails without proof that it hasn't run.
+/// Status for callers whose request failed without proof that it hasn't run.
 constexpr unsigned BadGateway = 502;
 constexpr unsigned GatewayTimeout = 504;
 
@@ -85,7 +86,8 @@
   case SpanState::Free:
     return std::nullopt;
   case SpanState::Releasing:
-    // The owner serves until its next heartbeat; then the heir waits for it.
+    // The owner serves until its next heartbeat; once it has refused the
+    // request, the next owner holds it until the keys are granted.
     return Of.m_Refused.contains(Owner) ? Span.m_Heir.m_Instance : Owner;
   case SpanState::Owned:
   case SpanState::Revoked:
@@ -253,7 +255,8 @@
   if (Of.m_Arrivals >= Of.m_Route->m_MaxAttempts)
     return false;
   Of.m_Refused.insert(Of.m_At);
-  // A keyed request goes to the same owner again, any other elsewhere.
+  // A keyed request is retried at the same owner, any other at another
+  // instance.
   const InstanceName To = choose(Of).value_or(Of.m_At);
   const auto Expected = m_Board.expectedCompletion(To, m_Loop.now());
   const double Needed = m_Options.m_RepeatCompletionPart *
--- a/src/router/entrance.h
+++ b/src/router/entrance.h
@@ -1,5 +1,5 @@
-// Where callers' requests come in: chooses the route and the instance, repeats
-// what may be repeated, and answers once.
+// Receives the requests of callers: chooses route and instance, retries where
+// that is allowed, and sends exactly one answer.
 #pragma once
 
 #include "event_log.h"
@@ -20,37 +20,39 @@
 
 namespace balsamwheel {
 
-/// What the entrance knows of the rest; kept by the router.
+/// Functions by which the entrance looks up state that the router keeps.
 struct EntranceView {
   /// Null before the first configuration.
   std::function<std::shared_ptr<const RouteTable>()> m_Routes;
   /// Null when the service's key map isn't known.
   std::function<const KeyMap *(const ServiceName &)> m_KeyMap;
-  /// Instances whose targets may serve the service.
+  /// Instances whose targets can serve the service.
   std::function<std::vector<TargetBoard::Candidate>(const ServiceName &)>
       m_Candidates;
 };
 
 struct EntranceOptions {
-  /// Passes to another gate after one has refused, for one caller attempt.
+  /// Maximum number of gates that one request is forwarded to after refusals.
   int m_MaxOffers = 3;
-  /// Pause before a key's owner is looked up again.
+  /// Delay before the owner of a key is looked up again.
   Duration m_OwnerRetry = std::chrono::milliseconds(60);
-  /// Owner lookups for one caller attempt.
+  /// Maximum number of repeated owner lookups for one request.
   int m_MaxOwnerLookups = 4;
-  /// Part of the expected completion that must be left for a repeat: the mean
-  /// over all routes is well above what a quick one takes.
+  /// Time that must be left before the deadline for a retry, as a ratio of the
+  /// expected completion time. Below 1, because that is a mean over all routes,
+  /// well above the time of a fast one.
   double m_RepeatCompletionPart = 0.6;
-  /// Told to callers when nothing better is known.
+  /// Retry-After for callers when no better estimate is known.
   Duration m_DefaultRetryAfter = std::chrono::milliseconds(300);
-  /// Retry-After is spread by up to this part, so that callers return apart.
+  /// Retry-After is extended by a random part of up to this ratio, so that
+  /// callers don't return all at once.
   double m_RetryAfterSpread = 0.3;
   RetryBudgetOptions m_Retries;
 };
 
-/// Invariants: each request read is answered exactly once or its caller has
-/// left; a request that isn't idempotent is passed on again only after proof
-/// that it hasn't run; "not run" is answered only with such proof.
+/// Invariants: each request that was read is answered exactly once unless its
+/// caller has disconnected; a non-idempotent request is forwarded again only
+/// with proof that it hasn't run; "not run" is answered only with such proof.
 class Entrance {
 public:
   Entrance(EventLoop &Loop, EventLog &Log, const RouterSettings &Settings,
@@ -59,7 +61,7 @@
            EntranceView View);
 
   void accept(std::shared_ptr<HttpExchange> Exchange);
-  /// From now on new requests are refused: the process is about to end.
+  /// New requests are refused from now on: the process is about to exit.
   void refuseNew() { m_RefuseNew = true; }
   std::size_t active() const { return m_Active.size(); }
 
@@ -71,31 +73,33 @@
     const Route *m_Route = nullptr;
     ServiceName m_Service;
     RequestMarks m_Marks;
-    /// As it is sent to targets, but for its own marks.
+    /// The request as sent to targets, without the headers that name the target
+    /// and its deadline.
     HttpRequest m_Request;
-    /// Made by the target beside this daemon, for a request that it runs.
+    /// Sent by the target beside this daemon while it runs another request.
     bool m_Nested = false;
     TimePoint m_Arrived;
     TimePoint m_Objective;
     TimePoint m_Deadline;
     EventLoop::TimerId m_Timer;
     EventLoop::TimerId m_Pause;
-    /// Where it is now.
+    /// Instance that the request was last forwarded to.
     InstanceName m_At;
     std::uint64_t m_Stream = 0;
     TargetAgent::JobId m_Job;
-    /// Targets that it may have reached.
+    /// Attempts that may have reached a target.
     std::uint32_t m_Arrivals = 0;
     int m_Offers = 0;
     int m_OwnerLookups = 0;
     std::set<InstanceName> m_Refused;
   };
 
-  /// Finds the route and the times; false when no route matches.
+  /// Sets the route, the latency objective and the deadline.
+  /// \returns false when no route matches.
   bool place(Active &Of);
   void dispatch(Id Request);
   std::optional<InstanceName> choose(const Active &Of);
-  /// Whether only the owner of its key may serve the request.
+  /// Whether only the owner of its key can serve the request.
   static bool isKeyed(const Active &Of);
   std::optional<InstanceName> ownerOf(const Active &Of) const;
   void passOn(Id Request, const InstanceName &To);
@@ -126,8 +130,9 @@
   bool m_RefuseNew = false;
   Id m_LastId = 0;
   std::map<Id, Active> m_Active;
-  /// Longest deadline that callers of a route have given: the time that a
-  /// first attempt has. A shorter one tells how long the caller has waited.
+  /// Longest deadline that callers have given on each route, taken as the time
+  /// that a first attempt has. The difference to a shorter one is the time that
+  /// the caller has already waited.
   std::map<std::string, Duration> m_FullDeadlines;
 };
 
--- a/src/router/event_log.cpp
+++ b/src/router/event_log.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-/// Lines that may be written at once after a quiet spell, in seconds of rate.
+/// Size of a token bucket, in seconds of its rate: the burst that may be
+/// written after a time without lines.
 constexpr double BurstSeconds = 2;
 
-/// How often dropped lines are told.
+/// Minimum time between two reports of the number of dropped lines.
 constexpr Duration DropReportInterval = std::chrono::seconds(1);
 
 std::string quoted(std::string_view Text) {
@@ -116,7 +117,7 @@
     const ssize_t Written =
         ::write(m_Options.m_Output, m_Buffer.data(), m_Buffer.size());
     if (Written <= 0)
-      return; // Nobody reads just now; the buffer is bounded.
+      return; // The output would block; the buffer is bounded.
     m_Buffer.erase(0, static_cast<std::size_t>(Written));
   }
 }
--- a/src/router/event_log.h
+++ b/src/router/event_log.h
@@ -1,5 +1,5 @@
-// Structured log: one JSON object a line on standard output. Bounded and
-// never blocking: lines that don't fit the buffer are dropped and counted.
+// Structured log: one JSON object per line on standard output. Bounded and
+// non-blocking: lines that don't fit the buffer are dropped and counted.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -13,7 +13,7 @@
 
 namespace balsamwheel {
 
-/// Lines of one kind have the same fields.
+/// One log line. All lines of one event have the same fields.
 class LogLine {
 public:
   explicit LogLine(std::string_view Event);
@@ -29,19 +29,24 @@
 };
 
 enum class LogClass : std::uint8_t {
-  /// Start, stop, dependencies, beliefs: kept as long as there is room.
+  /// Start and stop, and changes in the state of dependencies, configuration,
+  /// members, targets and key maps. Their rate limit is the highest, so they
+  /// are dropped last.
   Belief,
   /// Requests that were refused or failed.
   Failure,
-  /// Requests that went well; the first to be dropped.
+  /// Requests that succeeded. Their rate limit is the lowest, so they are
+  /// dropped first.
   Success,
 };
 
 struct EventLogOptions {
-  /// Descriptor of the output; a negative one discards all.
+  /// File descriptor of the output; a negative one discards everything.
   int m_Output = 1;
+  /// In bytes; above it, lines of all classes are dropped.
   std::size_t m_MaxBuffered = std::size_t{256} << 10;
-  /// Lines a second of each class that are written; the rest is counted.
+  /// Maximum lines per second of each class; further lines are dropped and
+  /// counted.
   double m_BeliefsPerSecond = 50;
   double m_FailuresPerSecond = 20;
   double m_SuccessesPerSecond = 5;
@@ -52,7 +57,7 @@
   EventLog(EventLoop &Loop, EventLogOptions Options);
 
   void write(LogClass Class, const LogLine &Line);
-  /// Hands buffered lines to the output as far as it takes them.
+  /// Writes as much of the buffer as the output accepts.
   void flush();
 
 private:
--- a/src/router/exchange_format.h
+++ b/src/router/exchange_format.h
@@ -1,5 +1,5 @@
-// How requests and answers are marked on the wire. The router decides; an
-// adapter reads and writes the marks.
+// Metadata that requests and answers carry on the wire. The router uses it; an
+// adapter decodes and encodes it.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -13,34 +13,35 @@
 
 namespace balsamwheel {
 
-/// What a caller's request says of itself.
+/// Metadata of a caller's request.
 struct RequestMarks {
   /// Empty when the caller gave none.
   std::string m_Id;
-  /// Id of the request for which a target makes this one.
+  /// Id of the request that a target was running when it sent this one.
   std::optional<std::string> m_ParentId;
-  /// How long the caller waits; none when it doesn't say.
+  /// How long the caller will wait; none when it doesn't say.
   std::optional<Duration> m_DeadlineLeft;
   std::optional<KeyIndex> m_Key;
   std::string m_Host;
 };
 
-/// What the router tells a target beside the request.
+/// Metadata that the router adds to a request for a target.
 struct TargetMarks {
   Duration m_DeadlineLeft{0};
-  /// Any other target refuses the request.
+  /// Targets with another id refuse the request.
   std::string m_TargetId;
 };
 
-/// What a target's answer says of the request.
+/// How an answer of a target is to be understood.
 enum class TargetVerdict : std::uint8_t {
-  /// It ran; the answer is the target's.
+  /// The request ran; the answer is the target's.
   Ran,
-  /// The target was full or too late, and didn't run it.
+  /// The target was overloaded or the request too late: it didn't run.
   Shed,
-  /// The address belongs to another target, or the key to another owner.
+  /// The address belongs to another target, or the key to another owner: the
+  /// request didn't run.
   Misdirected,
-  /// Not the bytes of a sound answer; the request may have run.
+  /// The answer isn't valid; the request may have run.
   Spoiled,
 };
 
@@ -48,14 +49,16 @@
 public:
   virtual ~ExchangeFormat() = default;
   virtual RequestMarks read(const HttpRequest &Request) const = 0;
-  /// Prepares a caller's request for a target of any instance.
+  /// Prepares a caller's request for forwarding to a target of any instance.
   virtual void prepare(HttpRequest &Request,
                        const ServiceName &CallerService) const = 0;
+  /// Sets the headers that are meant for one target.
   virtual void mark(HttpRequest &Request, const TargetMarks &Marks) const = 0;
+  /// Tells from an answer whether the request ran.
   virtual TargetVerdict judge(const HttpAnswer &Answer) const = 0;
-  /// Header that carries a request's id both ways.
+  /// Name of the header that carries the request id in requests and answers.
   virtual const std::string &idHeader() const = 0;
-  /// Answer of this router that the request hasn't run.
+  /// Answer of this router that says the request hasn't run.
   virtual HttpAnswer notRun(Duration RetryAfter) const = 0;
 };
 
--- a/src/router/key_coordinator.h
+++ b/src/router/key_coordinator.h
@@ -1,11 +1,12 @@
-// Takes part in deciding who owns the keys of the local target's service:
-// keeps the authority to grant, reports what was released, and plans when this
-// daemon is the one to do so.
+// Takes part in assigning the keys of the local target's service to owners:
+// maintains the authority to grant keys, reports released keys, and plans the
+// assignment while this daemon is the planner.
 //
-// Safety rests on conditional commits of one row: whoever plans, a change
-// counts only against the version it was made from. A daemon grants only while
-// a commit or check that it began less than the authority time ago has found
-// the row unchanged, so a revocation binds it after that time.
+// Safety rests on conditional commits of one row: whichever daemon plans, a
+// change takes effect only if the row still has the version that the change was
+// made from. A daemon grants keys only while a commit or check that it started
+// less than the authority duration ago has found the row unchanged, so a
+// revocation is binding for it once that time has passed.
 #pragma once
 
 #include "event_log.h"
@@ -17,30 +18,34 @@
 
 namespace balsamwheel {
 
-/// Row of the key map of a service in the daemons' own table.
+/// Key of the row that holds the key map of a service, in the daemons' own
+/// table.
 RowKey keyMapRow(const ServiceName &Service);
 
 struct KeyCoordinatorOptions {
-  /// From the start of a check of the map to the end of the right to grant.
+  /// How long after the start of a successful check of the map keys may be
+  /// granted.
   Duration m_Authority = std::chrono::seconds(3);
-  /// Pause between two checks.
+  /// Interval between two checks of the map.
   Duration m_CheckInterval = std::chrono::milliseconds(1500);
+  /// Delay before a failed commit or check is repeated.
   Duration m_CheckRetry = std::chrono::milliseconds(300);
+  /// Interval at which due commits and checks are looked for.
   Duration m_PlanInterval = std::chrono::milliseconds(500);
-  /// From the start of the daemon to its first plan, so that the others are
-  /// known.
+  /// Time after the start of the daemon in which it doesn't plan, so that it
+  /// learns of the other targets first.
   Duration m_Settle = std::chrono::seconds(2);
   KeyPlannerOptions m_Planner;
 };
 
-/// What the coordinator asks the router.
+/// Functions of the router that the coordinator calls.
 struct KeyCoordinatorView {
-  /// All targets of the service that are known.
+  /// All known targets of the service.
   std::function<std::vector<KeyCandidate>()> m_Candidates;
   std::function<SliceLoads()> m_Loads;
-  /// Whether this daemon is the one to plan.
+  /// Whether this daemon is the planner.
   std::function<bool()> m_IsPlanner;
-  /// Rows learned from replies to commits.
+  /// Called for each row in a reply to a commit.
   std::function<void(const MirroredRow &)> m_OnRow;
 };
 
@@ -51,13 +56,16 @@
                  KeyCoordinatorOptions Options, KeyCoordinatorView View);
   ~KeyCoordinator();
 
-  /// The row has a new version; none: it doesn't exist.
+  /// Reports a new version of the map's row.
+  /// \param Map the new map; none when the row doesn't exist.
   void mapChanged(std::optional<KeyMap> Map, RowVersion Version);
-  /// The table has been read: if there is no row, one may be made.
+  /// Reports that the table has been read: if the row doesn't exist, it may be
+  /// created.
   void tableRead() { m_TableRead = true; }
-  /// Does what is due; called after heartbeats too.
+  /// Commits or checks the map if that is due. Called periodically and after
+  /// each heartbeat.
   void step();
-  /// Whether grants may be given at \p Now.
+  /// Whether keys may be granted at \p Now.
   bool mayGrant(TimePoint Now) const { return m_Map && Now < m_AuthorityUntil; }
   const KeyMap *map() const { return m_Map ? &*m_Map : nullptr; }
   std::uint64_t commits() const { return m_Commits; }
--- a/src/router/peer_mesh.cpp
+++ b/src/router/peer_mesh.cpp
@@ -1,4 +1,5 @@
-// Upkeep of the connections between daemons.
+// Maintenance of the connections between daemons, and dispatch of the frames on
+// them.
 #include "peer_mesh.h"
 
 #include <algorithm>
@@ -7,10 +8,10 @@
 
 namespace {
 
-/// How often connections are checked and tried again.
+/// Interval at which connections are checked and reconnections attempted.
 constexpr Duration CheckInterval = std::chrono::milliseconds(100);
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(800);
-/// A peer that reads too slowly gets no more reports until it catches up.
+/// A peer that has this many unread bytes gets no reports until it catches up.
 constexpr std::size_t MaxPendingForReport = std::size_t{256} << 10;
 
 } // namespace
@@ -163,13 +164,13 @@
                                   std::string Body) {
   const auto Found = m_Callers.find(LinkId);
   if (Found == m_Callers.end())
-    return; // Turned away by an earlier frame.
+    return; // Rejected because of an earlier frame.
   Caller &From = Found->second;
   switch (Frame.kind) {
   case LinkFrameKind::Hello: {
     if (!Frame.wanted.empty() &&
         Frame.wanted != m_Settings.m_Instance.value()) {
-      // The address was another instance's before.
+      // The address formerly belonged to another instance.
       m_Log.write(LogClass::Belief, LogLine("peer_turned_away")
                                         .add("peer", Frame.instance)
                                         .add("wanted", Frame.wanted));
@@ -179,7 +180,7 @@
     From.m_Delay.note(Frame.sent_at, m_Loop.now());
     From.m_Instance = InstanceName(Frame.instance);
     From.m_Service = ServiceName(Frame.service);
-    // A peer that reaches this daemon is likely to be reachable, too.
+    // A peer that can connect to this daemon is probably reachable, too.
     auto Known = m_Peers.find(From.m_Instance);
     if (Known != m_Peers.end() && !Known->second.m_Link)
       Known->second.m_NextTry = m_Loop.now();
--- a/src/router/peer_mesh.h
+++ b/src/router/peer_mesh.h
@@ -1,5 +1,5 @@
-// Connections to the daemons of the other instances: requests out and in,
-// reports, and table rows passed on.
+// Connections between this daemon and those of the other instances. They carry
+// forwarded requests, load reports and table rows.
 #pragma once
 
 #include "event_log.h"
@@ -17,7 +17,7 @@
 
 namespace balsamwheel {
 
-/// Another instance, as its own row in the table describes it.
+/// An instance, as described by its row in the daemons' own table.
 struct Member {
   InstanceName m_Instance;
   DomainName m_Domain;
@@ -28,25 +28,28 @@
 };
 
 struct PeerMeshOptions {
-  /// Shortest time between two reports to all peers.
+  /// Interval between two reports to all peers, before the part for each peer.
   Duration m_ReportInterval = std::chrono::milliseconds(250);
-  /// Added to it for each peer, so that large meshes cost no more.
+  /// Added to the interval for each peer, so that the cost of reports doesn't
+  /// grow with the size of the mesh.
   Duration m_ReportIntervalPerPeer = std::chrono::milliseconds(6);
-  /// Reports missed in a row before a silent connection is given up.
+  /// A connection that has been silent for this many report intervals is
+  /// closed.
   int m_MissedReports = 4;
-  /// A request that has waited this long raises the question whether requests
-  /// still reach the peer: longer than most requests take.
+  /// A request that has waited this long triggers a ping, to find out whether
+  /// requests still reach the peer. Longer than most requests take.
   Duration m_PingAfter = std::chrono::milliseconds(500);
   Duration m_FirstReconnect = std::chrono::milliseconds(100);
   Duration m_LongestReconnect = std::chrono::seconds(2);
 };
 
 struct PeerMeshEvents {
-  /// A peer's request; answers go through answer() with the same link.
+  /// A peer's request; it is answered by answer() or answerLarge() with the
+  /// same link.
   std::function<void(std::uint64_t LinkId, LinkFrame &, std::string Body)>
       m_OnRequest;
   std::function<void(std::uint64_t LinkId, std::uint64_t Stream)> m_OnCancel;
-  /// The peer behind the link has left: its requests are wanted no more.
+  /// A peer's connection has ended: its requests are cancelled.
   std::function<void(std::uint64_t LinkId)> m_OnCallerLost;
   std::function<void(const InstanceName &, const LinkFrame &)> m_OnReport;
   std::function<void(const LinkFrame &Rows)> m_OnRows;
@@ -54,14 +57,15 @@
   std::function<void(const InstanceName &)> m_OnPeerDown;
 };
 
-/// What became of a request that was passed on.
+/// Result of a request that was sent to a peer.
 struct PeerReply {
-  /// Null when the connection ended first: the request may have run.
+  /// Null when the connection ended before the answer: the request may have
+  /// run.
   std::unique_ptr<LinkFrame> m_Answer;
   std::string m_Body;
 };
 
-/// Invariants: each request passed on ends exactly once, by its callback or by
+/// Invariants: each request sent ends exactly once, by its callback or by
 /// cancel(); a peer is up only while its reports arrive.
 class PeerMesh {
 public:
@@ -72,32 +76,34 @@
   ~PeerMesh();
 
   bool listen();
-  /// Replaces the known members; this instance's own entry is ignored.
+  /// Replaces the known members; the entry of this instance is ignored.
   void setMembers(const std::vector<Member> &Members);
 
   bool isUp(const InstanceName &Peer) const;
-  /// Since when a peer has been out of reach; none while it is up.
+  /// Since when a peer has been unreachable; none while it is up or when it is
+  /// unknown.
   std::optional<TimePoint> downSince(const InstanceName &Peer) const;
   std::vector<InstanceName> upPeers() const;
 
-  /// The frame's stream is set here. \returns 0 when the peer isn't up: then
-  /// nothing was sent and the callback isn't called.
+  /// Sends a request to a peer; the frame's kind, stream and time are set here.
+  /// \returns the stream, or 0 when the peer isn't up: then nothing was sent
+  /// and the callback isn't called.
   std::uint64_t request(const InstanceName &Peer, LinkFrame Frame,
                         std::string_view Body, OnReply Done);
   void cancel(const InstanceName &Peer, std::uint64_t Stream);
   void answer(std::uint64_t LinkId, const LinkFrame &Frame,
               std::string_view Body);
-  /// Like answer(), but large answers leave one after the other.
+  /// Like answer(), but large answers are sent one after the other.
   void answerLarge(std::uint64_t LinkId, const LinkFrame &Frame,
                    std::string_view Body);
-  /// Sends \p Report to all who are connected; \p ForService, if any, goes to
-  /// those of this instance's service in its place.
+  /// Sends \p Report to all connected peers. If \p ForService is given, peers
+  /// of this instance's service get that instead.
   void broadcast(const LinkFrame &Report,
                  const std::optional<LinkFrame> &ForService);
   void askForRows(const InstanceName &Peer, const LinkFrame &Wanted);
-  /// Bytes of answers that peers haven't taken yet.
+  /// Bytes of answers that haven't been written to their connections yet.
   std::size_t pendingAnswers() const;
-  /// Interval at which broadcast() is due.
+  /// Interval at which broadcast() is to be called.
   Duration reportInterval() const;
 
 private:
@@ -109,16 +115,16 @@
     Member m_Member;
     std::unique_ptr<PeerLink> m_Link;
     bool m_Greeted = false;
-    /// A report has arrived on the present connection.
+    /// A report has arrived on the current connection.
     bool m_Up = false;
     TimePoint m_DownSince;
     TimePoint m_ConnectingSince;
     Duration m_Pause{0};
     TimePoint m_NextTry;
     std::map<std::uint64_t, Waiting> m_Waiting;
-    /// When an answer or a pong last showed that requests reach the peer.
+    /// When an answer or a pong last proved that requests reach the peer.
     TimePoint m_LastProof;
-    /// A ping that hasn't been answered.
+    /// When the ping was sent that hasn't been answered yet.
     std::optional<TimePoint> m_PingSent;
   };
   struct Caller {
@@ -135,15 +141,16 @@
   void receivedFromCaller(std::uint64_t LinkId, LinkFrame &Frame,
                           std::string Body);
   void callerEnded(std::uint64_t LinkId);
-  /// Begins with the next large answer if none is on its way.
+  /// Starts sending the next large answer if none is being sent.
   void sendNextLarge();
   void check();
-  /// Finds out whether requests still reach a peer whose reports arrive: a
-  /// connection may have gone silent one way only.
+  /// Checks that requests still reach a peer whose reports arrive: a connection
+  /// may fail in one direction only.
   void checkWaiting(const InstanceName &Name, Peer &Of);
   void proved(Peer &Of);
   Duration silenceLimit() const;
-  /// This daemon's clock, for frames whose wait on the way is told.
+  /// Current time of this daemon's clock, from which the receiver computes how
+  /// long a frame was delayed on the way.
   std::int64_t sentAt() const;
 
   EventLoop &m_Loop;
@@ -159,7 +166,7 @@
     std::string m_Text;
   };
   std::deque<LargeAnswer> m_Large;
-  /// Link that a large answer leaves on; 0 when there is none.
+  /// Link on which a large answer is being sent; 0 when there is none.
   std::uint64_t m_LargeOn = 0;
   std::uint64_t m_LastLink = 0;
   std::uint64_t m_LastStream = 0;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,4 +1,4 @@
-// Wiring of a router process, and what its parts ask of each other.
+// Construction of a router process, its stop, and its handling of table rows.
 #include "router.h"
 
 #include <nlohmann/json.hpp>
@@ -11,22 +11,23 @@
 
 constexpr const char *MemberPrefix = "member/";
 constexpr const char *KeysPrefix = "keys/";
-/// Pause before a member's entry is written again.
+/// Delay before the daemon's member row is written again.
 constexpr Duration AnnounceRetry = std::chrono::seconds(1);
-/// How long callers may still come after SIGTERM: their readiness checks fail
-/// twice, a second apart, before they go elsewhere.
+/// How long new requests are still accepted after SIGTERM: callers go elsewhere
+/// only after two failed readiness checks, a second apart.
 constexpr Duration StopLinger = std::chrono::milliseconds(2300);
-/// How long the kernel is given for the last bytes of answers.
+/// Time for the kernel to send the last bytes of answers.
 constexpr Duration LastBytes = std::chrono::milliseconds(200);
-/// Kept from the grace time for the end of the process itself.
+/// Reserved from the grace period for the exit of the process itself.
 constexpr Duration StopMargin = std::chrono::milliseconds(400);
-/// Daemons that watch the own table themselves.
+/// Number of daemons that watch the daemons' own table directly.
 constexpr std::ptrdiff_t Watchers = 3;
-/// Part of the descriptors that callers' connections may take; peers, the
-/// target and the table need the rest.
+/// Callers' connections may take the number of file descriptors divided by
+/// this; peers, the target and the table need the rest.
 constexpr std::size_t CallerHandlesDivisor = 2;
-/// Part of the machine's link that reading changed rows may take: the rest is
-/// for requests, and for rows that a part of the daemons fetch from this one.
+/// Ratio of the machine's link bandwidth that reading changed rows may take.
+/// The rest is for requests, and for rows that other daemons fetch from this
+/// one.
 constexpr double RowsLinkShare = 0.25;
 
 using nlohmann::json;
@@ -189,7 +190,8 @@
   if (m_Coordinator->mayGrant(Now)) {
     Reply.m_Grants = m_Agent.ledger()->grant(*m_Coordinator->map(), Now);
     Reply.m_Hold = agentOptions(m_Settings).m_Holds.m_Hold;
-    // The target may not have read the answer when a request overtakes it.
+    // A request sent now could overtake the heartbeat's answer, so that the
+    // target wouldn't know of its grant yet.
     m_Loop.post([this] { m_Agent.grantsChanged(); });
   }
   return Reply;
@@ -220,7 +222,7 @@
 
 void Router::configurationChanged(const MirroredRow &Row) {
   if (!Row.m_Value)
-    return; // The last configuration stays in force.
+    return; // The current configuration stays in force.
   std::string Problem;
   auto Table = m_Operators.configuration(Row, Problem);
   const bool Older =
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,5 +1,5 @@
-// A router process for one instance: joins the entrance, the gate, the keys,
-// the tables and the peers on one event loop.
+// Router process of one instance: connects the entrance, the target agent, the
+// key coordinator, the tables and the peers on one event loop.
 #pragma once
 
 #include "entrance.h"
@@ -9,26 +9,26 @@
 
 namespace balsamwheel {
 
-/// Translates rows that operators write; an adapter implements it.
+/// Decodes rows that operators write; implemented by an adapter.
 class OperatorRows {
 public:
   virtual ~OperatorRows() = default;
-  /// The configuration, when \p Row holds one.
-  /// \param Problem why a configuration row was rejected.
+  /// Decodes the configuration; null when it is invalid.
+  /// \param Problem set to the reason why the row was rejected.
   virtual std::shared_ptr<const RouteTable>
   configuration(const MirroredRow &Row, std::string &Problem) const = 0;
-  /// Whether the row holds the configuration, sound or not.
+  /// Whether the row holds the configuration, valid or not.
   virtual bool isConfiguration(const RowKey &Key) const = 0;
-  /// The failure domain that a row takes out of service.
+  /// The failure domain that the row takes out of service; none for other rows.
   virtual std::optional<DomainName>
   evacuatedDomain(const RowKey &Key) const = 0;
 };
 
-/// A heartbeat's answer.
+/// Reply to a heartbeat.
 struct BeatReply {
-  /// The target's state has been taken in.
+  /// False for a late heartbeat or one of an earlier incarnation.
   bool m_Accepted = false;
-  /// None renews nothing.
+  /// Keys that the target may serve; none leaves its grants unchanged.
   std::optional<std::vector<GrantSpan>> m_Grants;
   Duration m_Hold{0};
 };
@@ -40,17 +40,18 @@
          RouterMetrics &Metrics, EventLog &Log);
   ~Router();
 
-  /// \returns false when an address can't be listened on.
+  /// \returns false when listening on an address fails.
   bool start();
-  /// Stops in order: new requests are served while callers may not know yet,
-  /// then refused; those under way end. Then stopped() is true.
+  /// Starts an orderly stop: new requests are still served while callers may
+  /// not have noticed, then refused; running requests are completed. After that
+  /// stopped() is true.
   void beginStop();
   bool stopped();
-  /// Ready to take requests of callers.
+  /// Whether requests of callers can be accepted.
   bool ready() const;
-  /// A heartbeat of the local target.
+  /// Handles a heartbeat of the local target.
   BeatReply beat(const TargetBeat &Beat);
-  /// The local target says that it leaves.
+  /// Handles the deregistration of the local target.
   void targetLeaves(const std::string &Id);
 
 private:
@@ -60,7 +61,7 @@
   void keyMapChanged(const MirroredRow &Row);
   void announce();
   void ensureCoordinator();
-  /// Applies a row that this daemon has written and tells it to all.
+  /// Applies a row that this daemon has written and sends it to all peers.
   void passOn(const MirroredRow &Row);
   LinkFrame makeReport(bool WithRates) const;
   void sendReports();
@@ -71,10 +72,10 @@
   LinkFrame rowsFor(const LinkFrame &Wanted) const;
   void takeRows(const LinkFrame &Rows);
   std::vector<KeyCandidate> keyCandidates() const;
-  /// Of an owner that the key map names and nobody reports.
+  /// Condition of an owner that the key map names but no daemon reports.
   TargetCondition conditionOfUnreported(const KeyOwner &Owner) const;
   SliceLoads keyLoads() const;
-  /// Whether a peer is up and says that it reaches the platform's table.
+  /// Whether a peer is up and reports that it can reach the platform's table.
   bool seesTable(const InstanceName &Peer) const;
   bool isKeyPlanner() const;
   /// Whether this daemon is one of the few that watch the own table.
@@ -83,12 +84,12 @@
   candidates(const ServiceName &Service) const;
   const KeyMap *keyMap(const ServiceName &Service) const;
 
-  /// What a peer last said of its target.
+  /// State of a peer's target, as last reported by the peer.
   struct PeerTarget {
     KeyOwner m_Owner;
     TargetCondition m_Condition = TargetCondition::Shaken;
     double m_Capacity = 1;
-    /// It reaches the platform's table.
+    /// The peer can reach the platform's table.
     bool m_SeesTable = false;
     SliceLoads m_Rates{};
   };
@@ -124,7 +125,7 @@
   TimePoint m_LastRates;
   bool m_Announced = false;
   std::optional<TimePoint> m_StopBegan;
-  /// While stopping: since when nothing has been under way.
+  /// While stopping: since when no request has been in progress.
   TimePoint m_IdleSince;
 };
 
--- a/src/router/router_keys.cpp
+++ b/src/router/router_keys.cpp
@@ -1,5 +1,5 @@
-// What a router knows of the targets of its own service, for the planner of
-// its keys.
+// What a router knows of the targets of its own service: input of the key
+// planner.
 #include "router.h"
 #include "unreported_owner.h"
 
@@ -32,8 +32,8 @@
                       .m_Condition = Condition,
                       .m_Capacity = Known->second.m_Capacity});
   }
-  // Owners that the map names and nobody reports: their daemon or target has
-  // just been started again, or they are lost.
+  // Owners in the map that no daemon reports: either their daemon or target has
+  // just restarted, or they are lost.
   if (const KeyMap *Map = keyMap(m_Settings.m_Service))
     for (const KeySpan &Span : Map->spans()) {
       const KeyOwner &Owner = Span.m_Owner;
@@ -47,7 +47,8 @@
     }
   for (const KeyCandidate &Each : Result)
     Total += Each.m_Capacity;
-  // Measured speeds differ by noise as well: only half of what is seen counts.
+  // Measured speeds contain noise, so only half of the difference from the mean
+  // counts.
   const double Mean = Total / std::max(1.0, static_cast<double>(Result.size()));
   for (KeyCandidate &Each : Result)
     Each.m_Capacity = std::clamp(
--- a/src/router/router_metrics.cpp
+++ b/src/router/router_metrics.cpp
@@ -1,4 +1,4 @@
-// Registration and text of the router's metrics.
+// Registration and text output of the router's metrics.
 #include "router_metrics.h"
 
 #include <prometheus/text_serializer.h>
--- a/src/router/router_metrics.h
+++ b/src/router/router_metrics.h
@@ -18,7 +18,8 @@
 public:
   RouterMetrics();
 
-  /// A request from a caller ended. \p Outcome is a short fixed text.
+  /// Counts a finished request of a caller.
+  /// \param Outcome a short fixed text.
   void requestEnded(const std::string &Service, const std::string &Outcome,
                     Duration Took);
   void tableCall(const std::string &Call, const std::string &End);
--- a/src/router/router_peers.cpp
+++ b/src/router/router_peers.cpp
@@ -1,5 +1,4 @@
-// What a router tells the daemons of other instances, and what it does for
-// them.
+// Exchange between routers: load reports, table rows and forwarded requests.
 #include "router.h"
 
 #include "link/frame_headers.h"
@@ -8,12 +7,13 @@
 
 namespace {
 
-/// Bodies from this size on leave one after the other, so that small answers
-/// don't queue behind all of them.
+/// Answers with bodies of at least this size in bytes are sent one after the
+/// other, so that small answers don't queue behind all of them.
 constexpr std::size_t LargeBody = 24576;
-/// How often loads of keys are told to the daemons of the same service.
+/// Interval at which the request rates of slices are sent to the daemons of the
+/// same service.
 constexpr Duration RatesInterval = std::chrono::milliseconds(700);
-/// Requests a second of a slice of keys that are worth telling.
+/// Slices with fewer requests per second aren't reported.
 constexpr float LeastRate = 0.1F;
 
 link_wire::TableRowT wireRow(const MirroredRow &Row) {
--- a/src/router/router_settings.h
+++ b/src/router/router_settings.h
@@ -1,4 +1,4 @@
-// Settings of a router process, as its adapter reads them.
+// Settings of a router process, read by an adapter.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -16,31 +16,39 @@
   DomainName m_Domain;
   /// Service of the target beside this daemon.
   ServiceName m_Service;
+  /// Where the target receives requests.
   Endpoint m_Target;
-  /// For callers on this machine.
+  /// Listens for callers on this machine.
   Endpoint m_Callers;
+  /// Listens for readiness checks.
   Endpoint m_Ready;
+  /// Listens for heartbeats and deregistration of the target.
   Endpoint m_TargetControl;
+  /// Listens for the daemons of other instances.
   Endpoint m_Peers;
-  /// Where other daemons reach this one, if not where it listens.
+  /// Address at which other daemons reach this one, if it differs from the
+  /// listening address.
   std::optional<Endpoint> m_Advertised;
   std::optional<Endpoint> m_Metrics;
+  /// Address of the platform's table.
   Endpoint m_Table;
+  /// File descriptors that the process may open.
   std::size_t m_MaxHandles = 1024;
-  /// Of the machine's own link; 0 means no limit.
+  /// Bandwidth of the machine's own link in bytes per second; 0 means no limit.
   double m_LinkBytesPerSecond = 0;
 
-  /// How often targets send heartbeats.
+  /// Interval between two heartbeats of a target.
   Duration m_Heartbeat = std::chrono::seconds(1);
-  /// Longest time a leaving target may get new work.
+  /// Maximum time for which a leaving target may get new requests.
   Duration m_DrainLimit = std::chrono::seconds(2);
-  /// Longest time a target of an evacuated domain may get new work.
+  /// Maximum time for which a target of an evacuated domain may get new
+  /// requests.
   Duration m_EvacuationLimit = std::chrono::seconds(5);
-  /// From SIGTERM to SIGKILL.
+  /// Time between SIGTERM and SIGKILL.
   Duration m_Grace = std::chrono::seconds(6);
-  /// Repeats allowed for each request, over all daemons.
+  /// Retry budget: retries per request, over all daemons.
   double m_RetryRatio = 0.2;
-  /// Longest hold that targets accept.
+  /// Longest hold of a key that targets accept.
   Duration m_MaxHold = std::chrono::seconds(10);
 };
 
--- a/src/router/row_catch_up.h
+++ b/src/router/row_catch_up.h
@@ -1,9 +1,9 @@
-// When a daemon asks another one for rows that it lacks.
+// Decides when a daemon asks a peer for rows that it is missing.
 //
-// Load pattern: operators change a large configuration several times a second,
-// and each daemon hears from all others that they have a newer one. Asking each
-// of them brings the same rows many times over and fills a narrow link, so that
-// the table itself can't be read any more.
+// Load pattern: operators change a large configuration several times per
+// second, and every peer reports a newer version to each daemon. Requesting it
+// from each of them would transfer the same rows many times and saturate a slow
+// link, so that the table itself couldn't be read.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -14,29 +14,32 @@
 
 namespace balsamwheel {
 
-/// Versions up to which a daemon has seen the rows of both tables.
+/// Versions up to which a daemon knows the rows of both tables.
 struct RowsSeen {
   RowVersion m_Operators;
   RowVersion m_Own;
 };
 
 struct RowCatchUpOptions {
-  /// How long a daemon that reaches the table may lack an operators' row: its
-  /// own watch brings the row, unless the watch has gone silent.
+  /// How long a daemon that can reach the table may be missing an operators'
+  /// row before it asks a peer: normally its own watch brings the row, unless
+  /// the watch's connection has failed silently.
   Duration m_Patience = std::chrono::milliseconds(1000);
-  /// From one request for rows to the next, unless the first is answered.
+  /// Time after which a request for rows that hasn't been answered is repeated.
   Duration m_AnswerLimit = std::chrono::milliseconds(1000);
 };
 
-/// Pure; not thread-safe. Invariant: one request at a time is under way.
+/// No side effects; not thread-safe. Invariant: at most one request is
+/// outstanding.
 class RowCatchUp {
 public:
   explicit RowCatchUp(RowCatchUpOptions Options = {}) : m_Options(Options) {}
 
-  /// A peer reports what it has seen.
+  /// Handles a peer's report of the rows that it knows.
   ///
-  /// \param Reachable the last call about the operators' table succeeded.
-  /// \returns the versions after which rows are to be asked for, if any.
+  /// \param Reachable whether the last call to the operators' table succeeded.
+  /// \returns the versions after which rows are to be requested; none if
+  /// nothing is.
   std::optional<RowsSeen> onReport(const RowsSeen &Peer, const RowsSeen &Seen,
                                    bool Reachable, TimePoint Now) {
     if (Seen.m_Operators != m_LastSeen) {
@@ -59,13 +62,14 @@
     return Wanted;
   }
 
-  /// Rows arrived; they may be the answer.
+  /// Rows have arrived; they are taken as the answer to the request.
   void onRows() { m_AskedUntil = TimePoint(); }
 
 private:
   RowCatchUpOptions m_Options;
   RowVersion m_LastSeen;
-  /// A peer has reported newer rows of the operators' table than are known.
+  /// A peer has reported newer rows of the operators' table than this daemon
+  /// knows.
   bool m_Behind = false;
   TimePoint m_BehindSince;
   TimePoint m_AskedUntil;
--- a/src/router/table_follower.cpp
+++ b/src/router/table_follower.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Pauses below this are left out.
+/// Shorter delays are skipped.
 constexpr Duration ShortestPause = std::chrono::milliseconds(20);
 
 const char *nameOf(TableName Table) {
@@ -53,7 +53,8 @@
   m_Own.m_Watching = Watching;
   if (!Watching || !m_Own.m_Resting)
     return;
-  // What was missed meanwhile may be beyond the history.
+  // The changes since the last call may no longer be in the table's history, so
+  // it is read again.
   m_Own.m_Position.reset();
   next(m_Own);
 }
--- a/src/router/table_follower.h
+++ b/src/router/table_follower.h
@@ -1,5 +1,5 @@
-// Keeps the mirror of the platform's tables up to date, from the table itself
-// and, while that can't be reached, from other daemons.
+// Keeps the mirror of the platform's tables up to date, from the tables
+// themselves and, while they are unreachable, from other daemons.
 #pragma once
 
 #include "event_log.h"
@@ -10,17 +10,17 @@
 namespace balsamwheel {
 
 struct TableFollowerOptions {
-  /// Time that one watch waits for a change: between these, so that the watches
-  /// of many daemons end at different times. A watch whose connection has gone
-  /// silent is noticed after it.
+  /// Each watch waits for a change for a random time between these, so that the
+  /// watches of many daemons end at different times. A connection that has
+  /// failed silently is noticed when the time has passed.
   Duration m_ShortestWait = std::chrono::seconds(2);
   Duration m_LongestWait = std::chrono::seconds(8);
   Duration m_FirstRetry = std::chrono::milliseconds(150);
   Duration m_LongestRetry = std::chrono::milliseconds(1200);
-  /// Bytes a second that changes may take of the machine's link; 0 means no
-  /// limit. Large rows that change often are then read less often.
+  /// Bandwidth for reading changes, in bytes per second; 0 means no limit.
+  /// Large rows that change often are then read less often.
   double m_BytesPerSecond = 0;
-  /// Longest pause between two watches for that.
+  /// Maximum delay between two watches because of the bandwidth limit.
   Duration m_LongestPause = std::chrono::milliseconds(700);
 };
 
@@ -33,27 +33,30 @@
                 OnRow Changed);
 
   void start();
-  /// Whether this daemon watches the own table itself. Others learn changes
-  /// from those who do, so that a change doesn't cost a call for each daemon.
+  /// Sets whether this daemon watches the daemons' own table itself. The other
+  /// daemons get its changes from those that do, so that a change doesn't cost
+  /// a call by each daemon.
   void setWatching(bool Watching);
-  /// Applies a row that another daemon passed on, or a reply to a commit.
+  /// Applies a row that another daemon has sent or a commit has returned.
+  /// \param Source where the row comes from, for the log.
   void apply(const MirroredRow &Row, const char *Source);
   const TableMirror &mirror() const { return m_Mirror; }
-  /// Whether the table has been read since the start.
+  /// Whether the table has been read since the start of the process.
   bool hasRead(TableName Table) const;
-  /// Whether the last call about the table succeeded.
+  /// Whether the last call to the table succeeded.
   bool isReachable(TableName Table) const;
 
 private:
   struct Followed {
     TableName m_Table;
-    /// Changes after it are watched for; none before the table has been read.
+    /// Version after which changes are watched for; none while the table has to
+    /// be read first.
     std::optional<RowVersion> m_Position;
     bool m_EverRead = false;
     bool m_Reachable = false;
     Duration m_Pause{0};
     bool m_Watching = true;
-    /// No call is under way or planned.
+    /// No call is in progress or scheduled.
     bool m_Resting = false;
   };
 
@@ -62,11 +65,12 @@
   }
   void next(Followed &Of);
   Duration watchWait();
-  /// Until the next watch, after one that brought \p Rows.
+  /// Delay before the next watch, after one that returned \p Rows.
   Duration pauseAfter(const std::vector<MirroredRow> &Rows) const;
   void readDone(Followed &Of, const TableServiceReply &Reply);
   void watchDone(Followed &Of, const TableServiceReply &Reply);
-  /// \returns whether the call succeeded; else it is repeated later.
+  /// Records whether the table was reachable; schedules a retry if not.
+  /// \returns whether the call succeeded.
   bool settle(Followed &Of, const TableServiceReply &Reply);
 
   EventLoop &m_Loop;
--- a/src/router/table_mirror.cpp
+++ b/src/router/table_mirror.cpp
@@ -1,4 +1,4 @@
-// Versioned copy of two tables.
+// Mirror of the platform's tables, with a version for each row.
 #include "balsamwheel/detail/router/table_mirror.h"
 
 #include <algorithm>
--- a/src/router/table_service.h
+++ b/src/router/table_service.h
@@ -1,4 +1,4 @@
-// The platform's table as the router needs it; adapters implement it.
+// The platform's table as used by the router; implemented by adapters.
 #pragma once
 
 #include "balsamwheel/detail/router/table_mirror.h"
@@ -12,33 +12,35 @@
 
 enum class TableEnd : std::uint8_t {
   Ok,
-  /// A condition failed; nothing was written. The rows of the conditions come
-  /// with the reply.
+  /// The condition wasn't met; nothing was written. The reply contains the row
+  /// that the condition named.
   Conflict,
-  /// The changes asked for are no longer kept; read the table whole.
+  /// The table no longer keeps the changes asked for; it has to be read
+  /// completely.
   HistoryLost,
-  /// Nothing was done.
+  /// The call failed and changed nothing.
   Refused,
-  /// No answer: a write may have been done or may yet be.
+  /// No valid answer: a write may or may not have taken effect, or may still do
+  /// so.
   Unanswered,
 };
 
 struct TableServiceReply {
   TableEnd m_End = TableEnd::Refused;
   std::vector<MirroredRow> m_Rows;
-  /// Newest version of the whole store.
+  /// Latest version of the whole store.
   RowVersion m_Version;
   const char *m_Error = "";
 };
 
-/// A write to this daemons' own table under a condition.
+/// A conditional write to the daemons' own table.
 struct OwnRowCommit {
   RowKey m_Key;
-  /// Version that the row must have; 0: it must not exist.
+  /// Version that the row must have; 0 means that it must not exist.
   RowVersion m_Expected;
-  /// False leaves the condition on the row out.
+  /// False writes the row unconditionally.
   bool m_Conditional = true;
-  /// None only checks the condition.
+  /// New value; none only checks the condition.
   std::optional<std::string> m_Value;
 };
 
@@ -47,7 +49,7 @@
   using OnReply = std::function<void(TableServiceReply)>;
 
   virtual ~TableService() = default;
-  /// Reads a table whole, as of one moment.
+  /// Reads a complete table as of one version.
   virtual void read(TableName Table, OnReply Done) = 0;
   /// Waits for changes after a version, for at most \p Wait.
   virtual void watch(TableName Table, RowVersion After, Duration Wait,
--- a/src/router/target_agent.cpp
+++ b/src/router/target_agent.cpp
@@ -1,4 +1,4 @@
-// State of the local target, and the requests at its gate.
+// State of the local target, and the requests that wait for it or run there.
 #include "target_agent.h"
 
 #include <algorithm>
@@ -8,17 +8,21 @@
 
 namespace {
 
-/// Time by which a slice's old requests lose half of their weight.
+/// Half-life of the request rates of slices.
 constexpr double SliceHalfLifeSeconds = 2;
-/// Beyond the deadline, for the target's own answer that it was reached.
+/// Added to the deadline, so that the target's own time-out answer still
+/// arrives.
 constexpr Duration DeadlineGrace = std::chrono::milliseconds(60);
-/// Connections to the target beyond its slots: those given up in flight.
+/// Connections to the target beyond its slots, for those still occupied by
+/// cancelled requests.
 constexpr std::uint32_t SpareConnections = 2;
-/// The target is on the same machine: nothing delays it for longer.
+/// Unacknowledged data for this long means that the target is gone: it is on
+/// the same machine.
 constexpr Duration TargetUnacknowledged = std::chrono::seconds(1);
-/// Longest idle time of a connection for a request that can't be repeated.
+/// Maximum idle time of a connection that is reused for a non-idempotent
+/// request.
 constexpr Duration FreshConnection = std::chrono::milliseconds(500);
-/// Requests with less time left aren't worth a slot.
+/// Requests with less time left are refused instead of sent.
 constexpr Duration LeastTimeLeft = std::chrono::milliseconds(5);
 
 } // namespace
@@ -118,7 +122,8 @@
 
 void TargetAgent::scheduleShut(Duration Limit, Reason Why) {
   m_Loop.cancel(m_ShutTimer);
-  // Keys take a moment to change hands; other work goes elsewhere at once.
+  // Keys need time to be handed over; requests without a key can go to other
+  // instances immediately.
   const bool Keyed = m_Ledger && m_Ledger->heldUntil() > m_Loop.now();
   if (!Keyed)
     return shutGate(Why);
@@ -188,7 +193,7 @@
 }
 
 double TargetAgent::capacity() const {
-  // Slots over service time: requests a second that the target finishes.
+  // Slots divided by the mean service time.
   const double Service =
       static_cast<double>(m_Gate.meanService().count()) / 1e6;
   return m_Slots / std::max(Service, 0.001);
@@ -211,7 +216,7 @@
   Added.m_Submitted = m_Loop.now();
   if (Added.m_Job.m_Key) {
     const KeyIndex Key = *Added.m_Job.m_Key;
-    // Adds one request to a rate that halves with each half-life.
+    // Adds one request to an exponentially decaying rate; 0.6931 is ln 2.
     m_SliceRates[Key / KeysPerSlice] +=
         static_cast<float>(0.6931 / SliceHalfLifeSeconds);
     if (!m_Ledger || !m_Ledger->holds(Key, m_Loop.now())) {
@@ -354,7 +359,7 @@
       break;
     case TargetVerdict::Misdirected:
       Out.m_Reason = Reason::NotOwner;
-      Out.m_ReachedTarget = false; // It doesn't count as an arrival.
+      Out.m_ReachedTarget = false; // Doesn't count as an attempt.
       break;
     case TargetVerdict::Spoiled:
       Out.m_Outcome = Outcome::Unknown;
@@ -404,7 +409,7 @@
   auto Node = m_Jobs.extract(Id);
   if (Node.empty() || Node.mapped().m_Abandoned)
     return;
-  // After the present call, so that submit() returns before its result.
+  // Posted, so that submit() returns before the callback is called.
   m_Loop.post([Done = std::move(Node.mapped().m_Done),
                Out = std::make_shared<TargetJobResult>(std::move(Result))] {
     Done(std::move(*Out));
--- a/src/router/target_agent.h
+++ b/src/router/target_agent.h
@@ -1,5 +1,5 @@
-// The only gate to the target beside this daemon: its state by its own
-// heartbeats, its keys, and every request that is sent to it.
+// Agent of the target beside this daemon: tracks its state by its heartbeats
+// and the keys it holds, and sends it all of its requests, through one gate.
 #pragma once
 
 #include "event_log.h"
@@ -23,7 +23,7 @@
 
 namespace balsamwheel {
 
-/// A heartbeat of the target beside this daemon.
+/// A heartbeat of the local target.
 struct TargetBeat {
   TargetIncarnation m_Target;
   ServiceName m_Service;
@@ -31,21 +31,21 @@
   std::uint32_t m_Slots = 1;
   bool m_Draining = false;
   Duration m_ColdLeft{0};
-  /// Grows with each heartbeat of one incarnation.
+  /// Increases with each heartbeat of one incarnation.
   std::uint64_t m_Sequence = 0;
   HoldReport m_Keys;
 };
 
-/// A request on its way to the target.
+/// A request for the local target.
 struct TargetJob {
   HttpRequest m_Request;
   std::string m_Id;
   std::string m_Route;
   std::uint32_t m_Priority = 0;
   bool m_Idempotent = false;
-  /// Made by a target while it runs another request.
+  /// Sent by a target while it runs another request.
   bool m_Nested = false;
-  /// Its answer is large and leaves over the machine's link.
+  /// The answer is large and leaves over the machine's link.
   bool m_LargeOverLink = false;
   std::optional<KeyIndex> m_Key;
   TimePoint m_Objective;
@@ -55,31 +55,34 @@
 struct TargetJobResult {
   Outcome m_Outcome = Outcome::NotRun;
   Reason m_Reason = Reason::None;
-  /// Bytes of the request reached the target, whatever came of it.
+  /// Whether bytes of the request may have reached the target, whatever the
+  /// outcome.
   bool m_ReachedTarget = false;
   Duration m_RetryAfter{0};
-  /// Only for Done.
+  /// Set only when the outcome is Done.
   HttpAnswer m_Answer;
 };
 
 struct TargetAgentOptions {
   HoldOptions m_Holds;
   RequestGateOptions m_Gate;
-  /// From a daemon's start until no grant of its predecessor can still run.
+  /// Time after the start of the daemon until all grants of its predecessor
+  /// have expired.
   Duration m_EarlierGrants = std::chrono::seconds(11);
-  /// Heartbeats missed in a row before the target gets no new keys.
+  /// After this many missed heartbeats the target gets no new keys.
   double m_MissedBeats = 3;
-  /// Longest wait for a key that is about to be granted.
+  /// Maximum time for which a request waits for a key that is about to be
+  /// granted.
   Duration m_GrantWait = std::chrono::milliseconds(1200);
-  /// Pause after a refused connection to the target.
+  /// Time for which the gate stays shut after the target refused a connection.
   Duration m_RefusedPause = std::chrono::milliseconds(400);
-  /// Kept from the limits on leaving targets for requests on their way.
+  /// Reserved from the time limits of leaving targets, for requests in flight.
   Duration m_LeaveMargin = std::chrono::milliseconds(500);
 };
 
-/// Invariants: nothing is sent once the gate is shut; a request that isn't
-/// idempotent is sent at most once; each job ends exactly once, by its
-/// callback or by cancel().
+/// Invariants: nothing is sent while the gate is shut; a non-idempotent request
+/// is sent at most once; each job ends exactly once, by its callback or by
+/// cancel().
 class TargetAgent {
 public:
   using JobId = RequestHandle;
@@ -88,30 +91,31 @@
   TargetAgent(EventLoop &Loop, EventLog &Log, const RouterSettings &Settings,
               const ExchangeFormat &Format, TargetAgentOptions Options);
 
+  /// Handles a heartbeat.
   /// \returns false for a late heartbeat or one of an earlier incarnation.
   bool beat(const TargetBeat &Beat);
-  /// What the configuration in force says of the target's service; null while
-  /// none is known. Nothing is sent before: a cold target's limit comes from
-  /// here.
+  /// Sets the target's service as the current configuration describes it; null
+  /// while it isn't known. Nothing is sent before, since the rate limit of a
+  /// cold target is part of it.
   void setService(const ServiceSpec *Spec);
-  /// The target leaves: from now on it gets no keys and soon no requests.
+  /// The target leaves: it gets no keys from now on and soon no requests.
   void leave(const char *Why);
-  /// The target's domain is out of service, or back in it.
+  /// Sets whether the target's domain is out of service.
   void setEvacuated(bool Evacuated);
-  /// The daemon will end: others are told to send nothing more.
+  /// The daemon will stop: its reports ask the others to send no more requests.
   void setStopping() { m_Stopping = true; }
-  /// The daemon is about to end: what isn't at the target yet is refused, so
-  /// that nothing is cut there.
+  /// The daemon is about to exit: requests that haven't been sent to the target
+  /// are refused, so that none is interrupted there.
   void refuseNew();
 
   JobId submit(TargetJob Job, const KeyMap *Map, OnResult Done);
-  /// Its caller has left or its time is over: the callback isn't called. A
-  /// running request that isn't idempotent goes on.
+  /// Cancels a job whose caller has left or whose deadline has passed; its
+  /// callback isn't called. A non-idempotent request that is running continues.
   void cancel(JobId Job);
-  /// Sends what a newly answered heartbeat allows.
+  /// Sends the requests whose keys the last answered heartbeat has granted.
   void grantsChanged();
 
-  /// Whether the target works on the request with this id.
+  /// Whether the target is running the request with this id.
   bool isRunning(const std::string &RequestId) const {
     return m_RunningIds.contains(RequestId);
   }
@@ -119,8 +123,9 @@
   std::optional<KeyOwner> owner() const;
   TargetCondition condition() const;
   GateReport gateReport() const;
+  /// Requests per second that the target can complete.
   double capacity() const;
-  /// Requests a second for each slice of keys, lately.
+  /// Recent requests per second for each slice of keys, weighted by age.
   const SliceLoads &sliceRates() const { return m_SliceRates; }
   void decaySliceRates(Duration Interval);
   bool leaving() const { return m_Leaving || m_Evacuated; }
@@ -136,18 +141,18 @@
     TimePoint m_Submitted;
     TimePoint m_SentAt;
     bool m_Sent = false;
-    /// Its result is wanted no more.
+    /// The job was cancelled; its result is discarded.
     bool m_Abandoned = false;
     HttpClient::CallId m_Call;
   };
 
   void startTarget(const TargetBeat &Beat);
-  /// Opens the gate if nothing forbids it.
+  /// Opens the gate unless the state of the target or daemon forbids it.
   void openGate();
   void limitColdRate();
   void shutGate(Reason Why);
   void scheduleShut(Duration Limit, Reason Why);
-  /// How long a request is worth holding for a key that is to be granted.
+  /// How long a request may wait for a key that is to be granted.
   Duration grantWait(const TargetJob &Of) const;
   void offer(JobId Id);
   void send(JobId Id);
@@ -172,22 +177,22 @@
   std::uint64_t m_LastSequence = 0;
   std::uint32_t m_Slots = 0;
   TimePoint m_LastBeat;
-  /// The target tells that it is cold until then.
+  /// End of the cold start as reported by the target.
   TimePoint m_ColdUntil;
   std::optional<ServiceSpec> m_Spec;
   bool m_Leaving = false;
   bool m_Evacuated = false;
   bool m_Stopping = false;
   bool m_RefuseNew = false;
-  /// Nothing is sent after it, once the target leaves.
+  /// Shuts the gate a limited time after the target began to leave.
   EventLoop::TimerId m_ShutTimer;
   EventLoop::TimerId m_PumpTimer;
   EventLoop::TimerId m_ExpireTimer;
   std::uint64_t m_LastJob = 0;
   std::map<JobId, Job> m_Jobs;
-  /// Ids of the requests that the target works on.
+  /// Ids of the requests that the target is running.
   std::multiset<std::string> m_RunningIds;
-  /// Jobs for keys that are to be granted with the next heartbeat.
+  /// Jobs that wait for their keys to be granted with the next heartbeat.
   std::vector<JobId> m_AwaitingGrant;
   SliceLoads m_SliceRates{};
 };
--- a/src/router/unreported_owner.h
+++ b/src/router/unreported_owner.h
@@ -1,4 +1,4 @@
-// What becomes of an owner of keys whose target nobody reports any more.
+// State of an owner of keys whose target is no longer reported by any daemon.
 #pragma once
 
 #include "balsamwheel/detail/keyspace/key_planner.h"
@@ -7,25 +7,26 @@
 
 namespace balsamwheel {
 
-/// What is known of an owner that the key map names, but that isn't the target
+/// Known facts about an owner that the key map names but that isn't the target
 /// which its instance reports.
 struct UnreportedOwner {
-  /// The daemon of its instance is in reach.
+  /// The daemon of the owner's instance is reachable.
   bool m_Up = false;
-  /// That daemon serves a target of another service now: the instance was given
-  /// away, and nobody there will adopt the keys.
+  /// That daemon now serves a target of another service: the instance was
+  /// reassigned, and no target there will adopt the keys.
   bool m_ServesOtherwise = false;
-  /// What that daemon says of its present target.
+  /// Condition of that daemon's current target, if reported.
   std::optional<TargetCondition> m_Reported;
-  /// Since when the daemon has been out of reach.
+  /// How long that daemon has been unreachable; none while it is reachable.
   std::optional<Duration> m_DownFor;
 };
 
-/// How long an unreachable owner of keys is taken to be restarting.
+/// How long an unreachable owner of keys is assumed to be restarting.
 inline constexpr Duration OwnerLostAfter = std::chrono::milliseconds(2500);
 
-/// Lost means that the keys are revoked, which waits their hold out; Shaken
-/// that they stay, as the instance is expected to take them up again.
+/// Derives the condition of the owner. Lost means that its keys are revoked,
+/// after their hold has expired; Shaken that it keeps them, since its instance
+/// is expected to adopt them.
 inline TargetCondition conditionOf(const UnreportedOwner &Owner) {
   if (Owner.m_Up && Owner.m_ServesOtherwise)
     return TargetCondition::Lost;
--- a/tests/fake_table_service.h
+++ b/tests/fake_table_service.h
@@ -1,5 +1,5 @@
-// The platform's table for routers under test: rows in memory, watches that
-// answer on change, and outages for all or for some.
+// In-memory stand-in for the platform's table: watches return on change, and
+// calls of all or some routers can be made to fail.
 #pragma once
 
 #include "net/event_loop.h"
@@ -49,7 +49,7 @@
     TableName m_Table;
     RowVersion m_After;
     TableService::OnReply m_Done;
-    /// Whether the watcher has been cut off meanwhile.
+    /// Whether the table has become unreachable for the watcher.
     const bool *m_Down;
   };
 
@@ -59,7 +59,7 @@
   std::list<Watch> m_Watches;
 };
 
-/// One router's view of the rows.
+/// The table as one router reaches it.
 class FakeTableService final : public TableService {
 public:
   explicit FakeTableService(FakeRows &Rows) : m_Rows(Rows) {}
--- a/tests/router_rig.h
+++ b/tests/router_rig.h
@@ -1,5 +1,5 @@
-// Routers on loopback with their tables, targets and callers, for the tests of
-// whole routers.
+// Routers on loopback with their tables, targets and callers, for tests of
+// complete routers.
 #pragma once
 
 #include "fake_table_service.h"
@@ -18,7 +18,7 @@
 
 inline Endpoint freeEndpoint() { return *Endpoint::fromText(freeAddress()); }
 
-/// Routes to the services "plain" and "keyed".
+/// Configuration with routes to the services "plain" and "keyed".
 inline std::string configuration(int Version, const std::string &Extra = "") {
   return R"({"Version":)" + std::to_string(Version) + R"(,"Services":[
     {"Name":"plain","MaxConnections":50,"ColdStartS":3,"ColdPerS":5},
@@ -33,7 +33,7 @@
          Extra + "]}]}";
 }
 
-/// A target that answers like the platform's.
+/// A target that answers in the platform's format.
 class Target {
 public:
   using Behaviour = std::function<std::optional<RawReply>(const std::string &)>;
@@ -68,7 +68,7 @@
   RawServer m_Server;
 };
 
-/// A router, its table and its target.
+/// A router with its table, its target and a caller.
 struct Instance {
   Instance(EventLoop &Loop, EventLog &Log, FakeRows &Rows,
            const std::string &Name, const std::string &Service)
@@ -128,7 +128,8 @@
     m_Rows.put(TableName::Operators, "config", configuration(Version, Extra));
   }
 
-  /// Runs until \p Done, at most ten seconds.
+  /// Runs the event loop until \p Done returns true, for at most ten seconds.
+  /// \returns whether it did.
   bool until(const std::function<bool()> &Done) {
     const TimePoint Limit = bootNow() + 10s;
     bool Reached = false;
@@ -172,7 +173,7 @@
     return (*Result)->m_Answer;
   }
 
-  /// Waits until requests at \p At are served.
+  /// Sends requests to \p At until one succeeds.
   void served(Instance &At, const std::string &Path) {
     for (int Try = 0; Try < 50; ++Try) {
       if (call(At, Path).m_Status == 200)
@@ -182,8 +183,8 @@
     FAIL("not served");
   }
 
-  /// Configures, lets all targets beat, and waits until the first instance
-  /// serves.
+  /// Writes the configuration, sends a heartbeat of each target, and waits
+  /// until the first instance serves requests.
   void begin() {
     configure(1);
     for (const auto &Each : m_Instances)
--- a/tests/unit-platform.cpp
+++ b/tests/unit-platform.cpp
@@ -1,4 +1,4 @@
-// Translation of the platform's names: settings, headers, heartbeats,
+// Decoding and encoding of the platform's settings, headers, heartbeats and
 // configuration.
 #include "platform/http_marks.h"
 #include "platform/operator_tables.h"
@@ -115,7 +115,7 @@
   CHECK(Marks.judge(answer(503, {"X-Not-Executed"})) == TargetVerdict::Shed);
   CHECK(Marks.judge(answer(421, {"X-Not-Executed"})) ==
         TargetVerdict::Misdirected);
-  // Without the mark nothing is promised.
+  // Without the header it is unknown whether the request ran.
   CHECK(Marks.judge(answer(503, {})) == TargetVerdict::Spoiled);
   CHECK(Marks.judge(answer(200, {})) == TargetVerdict::Spoiled);
   CHECK(Marks.judge(answer(200, {"X-Server-Signature", "Content-Encoding"})) ==
@@ -135,7 +135,7 @@
   CHECK(Read.m_Host == "h");
   CHECK(Read.m_ParentId == "parent");
   CHECK(Read.m_DeadlineLeft == 1500ms);
-  CHECK_FALSE(Read.m_Key.has_value()); // Beyond the highest key.
+  CHECK_FALSE(Read.m_Key.has_value()); // Above the highest key.
   Marks.prepare(Request, ServiceName("mine"));
   Marks.mark(Request, {.m_DeadlineLeft = 900ms, .m_TargetId = "t"});
   CHECK(Request.m_Headers.get("X-Caller-Service") == "mine");
--- a/tests/unit-router-keys.cpp
+++ b/tests/unit-router-keys.cpp
@@ -1,4 +1,4 @@
-// Whole routers on loopback: owners of keys, grants and fences.
+// Complete routers on loopback: owners of keys, grants and fences.
 #include "router_rig.h"
 
 #include <doctest/doctest.h>
--- a/tests/unit-router-peers.cpp
+++ b/tests/unit-router-peers.cpp
@@ -1,4 +1,4 @@
-// Whole routers on loopback: their dealings with each other.
+// Complete routers on loopback: their connections to each other.
 #include "link/peer_link.h"
 #include "router_rig.h"
 
@@ -22,7 +22,7 @@
 }
 
 TEST_CASE("a connection that has gone silent one way is given up") {
-  // The peer reports as usual, but nothing that is sent to it arrives.
+  // The peer's reports arrive, but nothing that is sent to it does.
   Rig Rig;
   Instance &Here = Rig.add("a", "plain");
   const Endpoint Address = freeEndpoint();
--- a/tests/unit-router-stop.cpp
+++ b/tests/unit-router-stop.cpp
@@ -1,4 +1,4 @@
-// Whole routers on loopback: how they stop.
+// Complete routers on loopback: the order of their stop.
 #include "router_rig.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
                                "Content-Length: " +
                                std::to_string(Body.size()) + "\r\n\r\n" + Body};
   };
-  // A caller that sends its request and doesn't read.
+  // A caller that sends its request and doesn't read the answer.
   const int Caller = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in Address{};
   Address.sin_family = AF_INET;
--- a/tests/unit-router.cpp
+++ b/tests/unit-router.cpp
@@ -1,4 +1,4 @@
-// Whole routers on loopback: what callers and targets see of them.
+// Complete routers on loopback: their behaviour towards callers and targets.
 #include "router_rig.h"
 
 #include <doctest/doctest.h>
@@ -33,7 +33,7 @@
   Rig.served(A, "/read/1?x=2");
   CHECK(Seen.starts_with("GET /read/1?x=2 HTTP/1.1\r\n"));
   CHECK(Target::header(Seen, "X-Target-Instance: ") == "target-b");
-  // The service beside which the request began, not the target's.
+  // The service of the instance at which the request entered, not the target's.
   CHECK(Target::header(Seen, "X-Caller-Service: ") == "keyed");
   CHECK(std::stoi(Target::header(Seen, "X-Deadline-Ms: ")) <= 2000);
   CHECK(Rig.call(A, "/unknown/").m_Status == 404);
@@ -97,7 +97,7 @@
   for (int Count = 0; Count < 30; ++Count)
     Rig.start(A, "/read/1", "GET");
   Rig.settle(900ms);
-  // Five a second and a burst of two.
+  // Five per second, and a burst of two.
   CHECK(A.m_Target.m_Arrivals <= 8);
   CHECK(A.m_Target.m_Arrivals >= 4);
 }
@@ -164,7 +164,7 @@
   REQUIRE(Rig.until([&] { return A.m_Target.m_Arrivals > Before; }));
   A.m_Callers->cancel(Rig.m_LastCall);
   A.m_Target.m_Behaviour = nullptr;
-  // Its slot is free again: four others are served at once.
+  // All four slots are free: four other requests are served.
   for (int Count = 0; Count < 4; ++Count)
     CHECK(Rig.call(A, "/read/1").m_Status == 200);
 }
--- a/tests/unit-row-catch-up.cpp
+++ b/tests/unit-row-catch-up.cpp
@@ -1,4 +1,4 @@
-// Requests for rows between daemons, when many know more than one does.
+// Requests for rows between daemons when many peers know newer ones.
 #include "router/row_catch_up.h"
 
 #include <doctest/doctest.h>
@@ -35,8 +35,8 @@
 }
 
 TEST_CASE("row catch-up: whoever watches the table waits for its watch") {
-  // A change each 300 ms, which the own watch brings 200 ms after the peers
-  // report it.
+  // A change every 300 ms, which the daemon's own watch returns 200 ms after
+  // the peers report it.
   RowCatchUp Asks;
   for (std::uint64_t Change = 1; Change < 20; ++Change) {
     const TimePoint At = Start + Change * 300ms;
--- a/tests/unit-store-client.cpp
+++ b/tests/unit-store-client.cpp
@@ -1,5 +1,5 @@
-// The platform's store over HTTP, against a scripted one: what is asked, and
-// what each kind of answer or silence means.
+// The client of the platform's store, against a scripted server: requests sent,
+// and the meaning of each kind of answer and of none.
 #include "platform/store_client.h"
 #include "support/raw_server.h"
 
@@ -17,7 +17,7 @@
                      std::to_string(Body.size()) + "\r\n\r\n" + Body};
 }
 
-/// One store call against a script.
+/// A store client and its scripted server.
 class StoreRig {
 public:
   explicit StoreRig(RawServer::Script Script)
--- a/tests/unit-table-follower.cpp
+++ b/tests/unit-table-follower.cpp
@@ -1,4 +1,4 @@
-// Following the platform's table: the pace at which changes are read.
+// Rate at which changes of the platform's table are read.
 #include "fake_table_service.h"
 #include "router/table_follower.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A table in which one row changes as often as it is read.
+/// A table in which a row changes whenever it is read.
 class RestlessTable : public TableService {
 public:
   RestlessTable(EventLoop &Loop, std::size_t RowSize)
@@ -46,7 +46,7 @@
   std::uint64_t m_Version = 0;
 };
 
-/// Time in which the table is watched six times.
+/// Time needed for six watches of the operators' table.
 std::chrono::steady_clock::duration timeOfWatches(double BytesPerSecond,
                                                   std::size_t RowSize) {
   EventLoop Loop({.m_LongestSleep = 5ms});
@@ -66,6 +66,6 @@
 } // namespace
 
 TEST_CASE("large rows that change often are read at the link's pace") {
-  // Five pauses of 100 ms.
+  // Five delays of 100 ms.
   CHECK(timeOfWatches(2e6, 200000) >= 500ms);
 }
--- a/tests/unit-table-mirror.cpp
+++ b/tests/unit-table-mirror.cpp
@@ -1,4 +1,4 @@
-// The mirror of the platform's tables: versions never go back.
+// Mirror of the platform's tables: versions of rows never decrease.
 #include "balsamwheel/detail/router/table_mirror.h"
 
 #include <doctest/doctest.h>
--- a/tests/unit-unreported-owner.cpp
+++ b/tests/unit-unreported-owner.cpp
@@ -1,4 +1,4 @@
-// Owners of keys that nobody reports: restarting, lost, or given away.
+// Owners of keys that no daemon reports: restarting, lost, or reassigned.
 #include "router/unreported_owner.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +7,7 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("an instance that was given to another service has lost its keys") {
-  // The daemon is in reach and its target is fit, but of another service.
+  // The daemon is reachable and its target is fit, but of another service.
   CHECK(conditionOf({.m_Up = true,
                      .m_ServesOtherwise = true,
                      .m_Reported = TargetCondition::Fit}) ==
