--- a/src/router/entrance.cpp
+++ b/src/router/entrance.cpp
@@ -183,26 +183,26 @@
     Frame.key = *Entry.m_Metadata.m_Key;
   Frame.objective_left = micros(Entry.m_Objective - Now);
   Frame.deadline_left = micros(Entry.m_Deadline - Now);
-  Entry.m_Stream =
-      m_Mesh.request(Destination, std::move(Frame), Entry.m_Request.m_Body,
-                     [this, Request](PeerReply Reply) {
-                       TargetJobResult Result;
-                       if (!Reply.m_Answer) {
-                         Result.m_Outcome = Outcome::Unknown;
-                         Result.m_Reason = Reason::PeerLost;
-                         Result.m_ReachedTarget = true;
-                         return attemptEnded(Request, std::move(Result));
-                       }
-                       const LinkFrame &From = *Reply.m_Answer;
-                       Result.m_Outcome = static_cast<Outcome>(From.outcome);
-                       Result.m_Reason = static_cast<Reason>(From.reason);
-                       Result.m_ReachedTarget = From.reached_target;
-                       Result.m_RetryAfter = Duration(From.retry_after);
-                       Result.m_Answer.m_Status = From.status;
-                       Result.m_Answer.m_Headers = headersOf(From);
-                       Result.m_Answer.m_Body = std::move(Reply.m_Body);
-                       attemptEnded(Request, std::move(Result));
-                     });
+  Entry.m_Stream = m_Mesh.request(
+      Destination, std::move(Frame), Entry.m_Request.m_Body,
+      [this, Request](PeerReply Reply) {
+        TargetJobResult Result;
+        if (!Reply.m_Answer) {
+          Result.m_Outcome = Outcome::Unknown;
+          Result.m_Reason = Reason::PeerLost;
+          Result.m_ReachedTarget = true;
+          return attemptEnded(Request, std::move(Result));
+        }
+        const LinkFrame &AnswerFrame = *Reply.m_Answer;
+        Result.m_Outcome = static_cast<Outcome>(AnswerFrame.outcome);
+        Result.m_Reason = static_cast<Reason>(AnswerFrame.reason);
+        Result.m_ReachedTarget = AnswerFrame.reached_target;
+        Result.m_RetryAfter = Duration(AnswerFrame.retry_after);
+        Result.m_Answer.m_Status = AnswerFrame.status;
+        Result.m_Answer.m_Headers = headersOf(AnswerFrame);
+        Result.m_Answer.m_Body = std::move(Reply.m_Body);
+        attemptEnded(Request, std::move(Result));
+      });
   if (Entry.m_Stream == 0)
     m_Loop.post([this, Request] {
       attemptEnded(Request, {.m_Outcome = Outcome::NotRun,
--- a/src/router/entrance.h
+++ b/src/router/entrance.h
@@ -60,9 +60,11 @@
            TargetBoard &Board, RouterMetrics &Metrics, EntranceOptions Options,
            EntranceCallbacks Callbacks);
 
+  /// Takes a request from a caller; it is answered through \p Exchange.
   void accept(std::shared_ptr<HttpExchange> Exchange);
   /// New requests are refused from now on: the process is about to exit.
   void refuseNew() { m_RefuseNew = true; }
+  /// Requests that haven't been answered yet.
   std::size_t active() const { return m_Active.size(); }
 
 private:
@@ -91,12 +93,15 @@
     std::uint32_t m_TargetAttempts = 0;
     int m_Forwards = 0;
     int m_OwnerLookups = 0;
+    /// Instances that have refused or failed the request.
     std::set<InstanceName> m_Excluded;
   };
 
   /// Sets the route, the latency objective and the deadline.
   /// \returns false when no route matches.
   bool resolveRoute(ActiveRequest &Entry);
+  /// Chooses an instance and forwards the request to it; refuses the request or
+  /// schedules another owner lookup when there is none.
   void dispatch(Id Request);
   std::optional<InstanceName> choose(const ActiveRequest &Entry);
   /// Whether only the owner of its key can serve the request.
@@ -105,13 +110,19 @@
   void forward(Id Request, const InstanceName &Destination);
   void attemptEnded(Id Request, TargetJobResult Result);
   void handleNotRun(Id Request, const TargetJobResult &Result);
+  /// Excludes the last instance and checks the limits on retries.
+  /// \returns whether a retry is allowed; it is then charged to the retry
+  /// budget.
   bool acquireRetry(ActiveRequest &Entry);
   void retryOwnerLookup(Id Request);
   void timedOut(Id Request);
   void callerLeft(Id Request);
   void cancelAttempt(const ActiveRequest &Entry);
+  /// Answers that the request hasn't run.
   void refuse(Id Request, Reason Why, Duration RetryAfter);
+  /// Answers with an error that leaves open whether the request has run.
   void fail(Id Request, unsigned Status, Reason Why);
+  /// Ends the request: logs and counts it, and answers unless the status is 0.
   void answer(Id Request, HttpAnswer Answer, std::string_view Outcome,
               Reason Why);
 
--- a/src/router/event_log.cpp
+++ b/src/router/event_log.cpp
@@ -44,7 +44,7 @@
   return add(std::string(Field) + "_us", std::int64_t{Value.count()});
 }
 
-std::string LogLine::finish(TimePoint Now) const {
+std::string LogLine::toJsonLine(TimePoint Now) const {
   timespec Wall{};
   clock_gettime(CLOCK_REALTIME, &Wall);
   std::string Text = "{\"wall_ms\":";
@@ -107,10 +107,10 @@
     m_Buffer += LogLine("log_lines_dropped")
                     .add("class", std::int64_t{static_cast<int>(Class)})
                     .add("count", static_cast<std::int64_t>(Bucket.m_Dropped))
-                    .finish(m_Loop.now());
+                    .toJsonLine(m_Loop.now());
     Bucket.m_Dropped = 0;
   }
-  m_Buffer += Line.finish(m_Loop.now());
+  m_Buffer += Line.toJsonLine(m_Loop.now());
 }
 
 void EventLog::flush() {
--- a/src/router/event_log.h
+++ b/src/router/event_log.h
@@ -21,7 +21,8 @@
   LogLine &add(std::string_view Field, std::int64_t Value);
   LogLine &add(std::string_view Field, Duration Value);
   const std::string &event() const { return m_Event; }
-  std::string finish(TimePoint Now) const;
+  /// The line as JSON, with the wall clock and boot time.
+  std::string toJsonLine(TimePoint Now) const;
 
 private:
   std::string m_Event;
@@ -52,6 +53,7 @@
   double m_SuccessesPerSecond = 5;
 };
 
+/// Writes log lines within the rate limit of their class. Not thread-safe.
 class EventLog {
 public:
   EventLog(EventLoop &Loop, EventLogOptions Options);
--- a/src/router/exchange_format.h
+++ b/src/router/exchange_format.h
@@ -45,6 +45,7 @@
   Invalid,
 };
 
+/// Decodes and encodes the metadata; implemented by an adapter.
 class ExchangeFormat {
 public:
   virtual ~ExchangeFormat() = default;
--- a/src/router/key_coordinator.h
+++ b/src/router/key_coordinator.h
@@ -42,6 +42,7 @@
 struct KeyCoordinatorCallbacks {
   /// All known targets of the service.
   std::function<std::vector<KeyCandidate>()> m_Candidates;
+  /// Requests per second for each slice of keys, over all targets.
   std::function<SliceLoads()> m_Loads;
   /// Whether this daemon is the planner.
   std::function<bool()> m_IsPlanner;
@@ -72,7 +73,9 @@
   std::uint64_t commits() const { return m_Commits; }
 
 private:
+  /// The map with all changes that this daemon has to make.
   KeyMap desired() const;
+  /// Commits \p Value; none only checks that the row is unchanged.
   void commit(std::optional<std::string> Value);
   void onCommitReply(const TableServiceReply &Reply, TimePoint StartedAt,
                      bool HadWrite);
--- a/src/router/peer_mesh.cpp
+++ b/src/router/peer_mesh.cpp
@@ -110,7 +110,7 @@
     m_Events.m_OnPeerDown(Name);
   }
   for (const auto &[Stream, Each] : Unanswered)
-    m_Loop.post([Done = Each.m_Done] { Done({}); });
+    m_Loop.post([Done = Each.m_OnReply] { Done({}); });
 }
 
 void PeerMesh::received(const InstanceName &Name, LinkFrame &Frame,
@@ -136,7 +136,7 @@
     PeerReply Reply;
     Reply.m_Answer = std::make_unique<LinkFrame>(std::move(Frame));
     Reply.m_Body = std::move(Body);
-    Found.mapped().m_Done(std::move(Reply));
+    Found.mapped().m_OnReply(std::move(Reply));
   } else if (Frame.kind == LinkFrameKind::Rows) {
     m_Events.m_OnRows(Frame);
   }
@@ -327,7 +327,7 @@
   Frame.sent_at = sendTimestamp();
   Found->second.m_Pending.emplace(
       Frame.stream,
-      PendingRequest{.m_Done = std::move(Done), .m_SentAt = m_Loop.now()});
+      PendingRequest{.m_OnReply = std::move(Done), .m_SentAt = m_Loop.now()});
   Found->second.m_Link->send(Frame, Body);
   return Frame.stream;
 }
--- a/src/router/peer_mesh.h
+++ b/src/router/peer_mesh.h
@@ -108,9 +108,10 @@
 
 private:
   struct PendingRequest {
-    OnReply m_Done;
+    OnReply m_OnReply;
     TimePoint m_SentAt;
   };
+  /// A known instance and this daemon's connection to it.
   struct Peer {
     Member m_Member;
     std::unique_ptr<PeerLink> m_Link;
@@ -127,6 +128,7 @@
     /// When the ping was sent that hasn't been answered yet.
     std::optional<TimePoint> m_PingSentAt;
   };
+  /// A connection that a peer has opened to this daemon.
   struct InboundPeer {
     std::unique_ptr<PeerLink> m_Link;
     InstanceName m_Instance;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -42,16 +42,16 @@
 
 std::optional<Member> parseMemberRow(const MirroredRow &Row) {
   try {
-    const json From = json::parse(*Row.m_Value);
+    const json Json = json::parse(*Row.m_Value);
     const auto Address =
-        Endpoint::fromText(From.at("address").get<std::string>());
+        Endpoint::fromText(Json.at("address").get<std::string>());
     if (!Address)
       return std::nullopt;
     return Member{
         .m_Instance = InstanceName(
             Row.m_Key.value().substr(std::string_view(MemberPrefix).size())),
-        .m_Domain = DomainName(From.at("domain").get<std::string>()),
-        .m_Service = ServiceName(From.at("service").get<std::string>()),
+        .m_Domain = DomainName(Json.at("domain").get<std::string>()),
+        .m_Service = ServiceName(Json.at("service").get<std::string>()),
         .m_Address = *Address};
   } catch (const json::exception &) {
     return std::nullopt;
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -46,6 +46,8 @@
   /// not have noticed, then refused; running requests are completed. After that
   /// stopped() is true.
   void beginStop();
+  /// Continues the stop; to be called repeatedly.
+  /// \returns whether the process can exit.
   bool stopped();
   /// Whether requests of callers can be accepted.
   bool ready() const;
@@ -59,7 +61,9 @@
   void configurationChanged(const MirroredRow &Row);
   void membersChanged();
   void keyMapChanged(const MirroredRow &Row);
+  /// Writes this daemon's member row until the table contains it.
   void writeMemberRow();
+  /// Creates or removes the key coordinator as the configuration requires.
   void ensureCoordinator();
   /// Applies a row that this daemon has written and sends it to all peers.
   void publishRow(const MirroredRow &Row);
--- a/src/router/router_peers.cpp
+++ b/src/router/router_peers.cpp
@@ -26,24 +26,24 @@
   return Result;
 }
 
-MirroredRow rowFromWire(const link_wire::TableRowT &From) {
-  MirroredRow Row{.m_Table = From.table_name == "operators"
+MirroredRow rowFromWire(const link_wire::TableRowT &Wire) {
+  MirroredRow Row{.m_Table = Wire.table_name == "operators"
                                  ? TableName::Operators
                                  : TableName::Own,
-                  .m_Key = RowKey(From.key),
-                  .m_Version = RowVersion(From.version)};
-  if (!From.removed)
-    Row.m_Value = From.value;
+                  .m_Key = RowKey(Wire.key),
+                  .m_Version = RowVersion(Wire.version)};
+  if (!Wire.removed)
+    Row.m_Value = Wire.value;
   return Row;
 }
 
-GateReport gateFromWire(const link_wire::GateStateT &From) {
-  return {.m_Running = From.running,
-          .m_Waiting = From.waiting,
-          .m_Slots = From.slots,
-          .m_Service = Duration(From.service),
-          .m_RateLimit = From.rate_limit,
-          .m_LinkWait = Duration(From.link_wait)};
+GateReport gateFromWire(const link_wire::GateStateT &Wire) {
+  return {.m_Running = Wire.running,
+          .m_Waiting = Wire.waiting,
+          .m_Slots = Wire.slots,
+          .m_Service = Duration(Wire.service),
+          .m_RateLimit = Wire.rate_limit,
+          .m_LinkWait = Duration(Wire.link_wait)};
 }
 
 std::unique_ptr<link_wire::GateStateT> gateToWire(const GateReport &Report) {
--- a/tests/router_rig.h
+++ b/tests/router_rig.h
@@ -147,7 +147,7 @@
   }
 
   std::shared_ptr<std::optional<HttpCallResult>>
-  start(Instance &At, const std::string &Path, const std::string &Method,
+  start(Instance &Ingress, const std::string &Path, const std::string &Method,
         int Key = -1) {
     HttpCall Call{.m_Timeout = 5s};
     Call.m_Request = {.m_Method = Method, .m_Target = Path};
@@ -159,24 +159,24 @@
       Headers.add("X-Shard-Key", std::to_string(Key));
     auto Result = std::make_shared<std::optional<HttpCallResult>>();
     m_LastCall =
-        At.m_Callers->call(std::move(Call), [Result](HttpCallResult Done) {
+        Ingress.m_Callers->call(std::move(Call), [Result](HttpCallResult Done) {
           *Result = std::move(Done);
         });
     return Result;
   }
 
-  HttpAnswer call(Instance &At, const std::string &Path,
+  HttpAnswer call(Instance &Ingress, const std::string &Path,
                   const std::string &Method = "GET", int Key = -1) {
-    auto Result = start(At, Path, Method, Key);
+    auto Result = start(Ingress, Path, Method, Key);
     REQUIRE(runUntil([&] { return Result->has_value(); }));
     REQUIRE((*Result)->m_End == HttpCallEnd::Answered);
     return (*Result)->m_Answer;
   }
 
-  /// Sends requests to \p At until one succeeds.
-  void waitUntilServed(Instance &At, const std::string &Path) {
+  /// Sends requests to \p Ingress until one succeeds.
+  void waitUntilServed(Instance &Ingress, const std::string &Path) {
     for (int Try = 0; Try < 50; ++Try) {
-      if (call(At, Path).m_Status == 200)
+      if (call(Ingress, Path).m_Status == 200)
         return;
       runFor(50ms);
     }
--- a/tests/unit-row-catch-up.cpp
+++ b/tests/unit-row-catch-up.cpp
@@ -41,11 +41,11 @@
   // the peers report it.
   RowCatchUp CatchUp;
   for (std::uint64_t Change = 1; Change < 20; ++Change) {
-    const TimePoint At = Start + Change * 300ms;
+    const TimePoint ReportedAt = Start + Change * 300ms;
     CHECK(!CatchUp.onReport(versions(Change, 0), versions(Change - 1, 0), true,
-                            At));
+                            ReportedAt));
     CHECK(!CatchUp.onReport(versions(Change, 0), versions(Change, 0), true,
-                            At + 200ms));
+                            ReportedAt + 200ms));
   }
 }
 
