--- a/include/balsamwheel/detail/router/table_mirror.h
+++ b/include/balsamwheel/detail/router/table_mirror.h
@@ -35,8 +35,8 @@
   /// Stores the row if it is newer than the known version.
   /// \returns whether it was.
   bool apply(const MirroredRow &Row);
-  /// Removes the rows of a table that are missing from a complete read as of \p
-  /// ReadVersion.
+  /// Removes the rows of a table that a complete read as of \p ReadVersion
+  /// lacks.
   /// \returns the keys of the removed rows.
   std::vector<RowKey> removeMissing(TableName Table,
                                     const std::vector<MirroredRow> &Read,
--- a/src/router/event_log.cpp
+++ b/src/router/event_log.cpp
@@ -45,10 +45,11 @@
 }
 
 std::string LogLine::toJsonLine(TimePoint Now) const {
-  timespec Wall{};
-  clock_gettime(CLOCK_REALTIME, &Wall);
+  timespec WallTime{};
+  clock_gettime(CLOCK_REALTIME, &WallTime);
   std::string Text = "{\"wall_ms\":";
-  Text.append(std::to_string(Wall.tv_sec * 1000 + Wall.tv_nsec / 1000000))
+  Text.append(
+          std::to_string(WallTime.tv_sec * 1000 + WallTime.tv_nsec / 1000000))
       .append(",\"boot_us\":")
       .append(std::to_string(Now.time_since_epoch().count()))
       .append(",\"event\":\"")
--- a/src/router/router_keys.cpp
+++ b/src/router/router_keys.cpp
@@ -89,7 +89,8 @@
 bool Router::isKeyPlanner() const {
   if (m_StopStartedAt || !m_Follower.isReachable(TableName::Operators))
     return false;
-  // Whoever can't reach the table is passed over: it couldn't commit a plan.
+  // Daemons that can't reach the table are skipped: they couldn't commit a
+  // plan.
   return std::none_of(m_Members.begin(), m_Members.end(),
                       [&](const Member &Each) {
                         return Each.m_Service == m_Settings.m_Service &&
--- a/src/router/unreported_owner.h
+++ b/src/router/unreported_owner.h
@@ -24,9 +24,9 @@
 /// How long an unreachable owner of keys is assumed to be restarting.
 inline constexpr Duration OwnerLossTimeout = std::chrono::milliseconds(2500);
 
-/// Derives the condition of the owner. Lost means that its keys are revoked,
-/// after their hold has expired; Shaken that it keeps them, since its instance
-/// is expected to adopt them.
+/// Derives the condition of the owner: lost if its keys are to be revoked,
+/// which waits until their hold has expired; ended if nothing holds them any
+/// more; otherwise it keeps them, since its instance is expected to adopt them.
 inline TargetCondition conditionOf(const UnreportedOwner &Owner) {
   if (Owner.m_Reachable && Owner.m_ServesOtherService)
     return TargetCondition::Lost;
--- a/tests/unit-unreported-owner.cpp
+++ b/tests/unit-unreported-owner.cpp
@@ -7,7 +7,7 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("an instance reassigned to another service has lost its keys") {
-  // The daemon is reachable and its target is fit, but of another service.
+  // The daemon is reachable and its target is healthy, but of another service.
   CHECK(conditionOf({.m_Reachable = true,
                      .m_ServesOtherService = true,
                      .m_Reported = TargetCondition::Fit}) ==
