--- a/src/router/event_log.h
+++ b/src/router/event_log.h
@@ -1,5 +1,5 @@
-// Structured log: one JSON object a line on standard output. Bounded and
-// never blocking: lines that don't fit the buffer are dropped and counted.
+// Structured log: one JSON object per line on standard output. Bounded and
+// non-blocking: lines that don't fit the buffer are dropped and counted.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -13,7 +13,7 @@
 
 namespace balsamwheel {
 
-/// Lines of one kind have the same fields.
+/// One log line. All lines of one event have the same fields.
 class LogLine {
 public:
   explicit LogLine(std::string_view Event);
@@ -21,7 +21,8 @@
   LogLine &add(std::string_view Field, std::int64_t Value);
   LogLine &add(std::string_view Field, Duration Value);
   const std::string &event() const { return m_Event; }
-  std::string finish(TimePoint Now) const;
+  /// The line as JSON, with the wall clock and boot time.
+  std::string toJsonLine(TimePoint Now) const;
 
 private:
   std::string m_Event;
@@ -29,38 +30,44 @@
 };
 
 enum class LogClass : std::uint8_t {
-  /// Start, stop, dependencies, beliefs: kept as long as there is room.
-  Belief,
+  /// Start and stop, and changes in the state of dependencies, configuration,
+  /// members, targets and key maps. Their rate limit is the highest, so they
+  /// are dropped last.
+  StateChange,
   /// Requests that were refused or failed.
   Failure,
-  /// Requests that went well; the first to be dropped.
+  /// Requests that succeeded. Their rate limit is the lowest, so they are
+  /// dropped first.
   Success,
 };
 
 struct EventLogOptions {
-  /// Descriptor of the output; a negative one discards all.
+  /// File descriptor of the output; a negative one discards everything.
   int m_Output = 1;
+  /// In bytes; above it, lines of all classes are dropped.
   std::size_t m_MaxBuffered = std::size_t{256} << 10;
-  /// Lines a second of each class that are written; the rest is counted.
-  double m_BeliefsPerSecond = 50;
+  /// Maximum lines per second of each class; further lines are dropped and
+  /// counted.
+  double m_StateChangesPerSecond = 50;
   double m_FailuresPerSecond = 20;
   double m_SuccessesPerSecond = 5;
 };
 
+/// Writes log lines within the rate limit of their class. Not thread-safe.
 class EventLog {
 public:
   EventLog(EventLoop &Loop, EventLogOptions Options);
 
   void write(LogClass Class, const LogLine &Line);
-  /// Hands buffered lines to the output as far as it takes them.
+  /// Writes as much of the buffer as the output accepts.
   void flush();
 
 private:
-  struct Budget {
+  struct TokenBucket {
     double m_Tokens = 0;
-    TimePoint m_At;
+    TimePoint m_RefilledAt;
     std::uint64_t m_Dropped = 0;
-    TimePoint m_DropsToldAt;
+    TimePoint m_DropsReportedAt;
   };
 
   double rate(LogClass Class) const;
@@ -68,7 +75,7 @@
 
   EventLoop &m_Loop;
   EventLogOptions m_Options;
-  std::map<LogClass, Budget> m_Budgets;
+  std::map<LogClass, TokenBucket> m_Buckets;
   std::string m_Buffer;
 };
 
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,5 +1,5 @@
-// A router process for one instance: joins the entrance, the gate, the keys,
-// the tables and the peers on one event loop.
+// Router process of one instance: connects the entrance, the target agent, the
+// key coordinator, the tables and the peers on one event loop.
 #pragma once
 
 #include "entrance.h"
@@ -9,26 +9,26 @@
 
 namespace balsamwheel {
 
-/// Translates rows that operators write; an adapter implements it.
+/// Decodes rows that operators write; implemented by an adapter.
 class OperatorRows {
 public:
   virtual ~OperatorRows() = default;
-  /// The configuration, when \p Row holds one.
-  /// \param Problem why a configuration row was rejected.
+  /// Decodes the configuration; null when it is invalid.
+  /// \param Problem set to the reason why the row was rejected.
   virtual std::shared_ptr<const RouteTable>
   configuration(const MirroredRow &Row, std::string &Problem) const = 0;
-  /// Whether the row holds the configuration, sound or not.
+  /// Whether the row holds the configuration, valid or not.
   virtual bool isConfiguration(const RowKey &Key) const = 0;
-  /// The failure domain that a row takes out of service.
+  /// The failure domain that the row takes out of service; none for other rows.
   virtual std::optional<DomainName>
   evacuatedDomain(const RowKey &Key) const = 0;
 };
 
-/// A heartbeat's answer.
-struct BeatReply {
-  /// The target's state has been taken in.
+/// Reply to a heartbeat.
+struct HeartbeatReply {
+  /// False for a late heartbeat or one of an earlier incarnation.
   bool m_Accepted = false;
-  /// None renews nothing.
+  /// Keys that the target may serve; none leaves its grants unchanged.
   std::optional<std::vector<GrantSpan>> m_Grants;
   Duration m_Hold{0};
 };
@@ -40,42 +40,48 @@
          RouterMetrics &Metrics, EventLog &Log);
   ~Router();
 
-  /// \returns false when an address can't be listened on.
+  /// \returns false when listening on an address fails.
   bool start();
-  /// Stops in order: new requests are served while callers may not know yet,
-  /// then refused; those under way end. Then stopped() is true.
+  /// Starts an orderly stop: new requests are still served while callers may
+  /// not have noticed, then refused; running requests are completed. After that
+  /// stopped() is true.
   void beginStop();
+  /// Continues the stop; to be called repeatedly.
+  /// \returns whether the process can exit.
   bool stopped();
-  /// Ready to take requests of callers.
+  /// Whether requests of callers can be accepted.
   bool ready() const;
-  /// A heartbeat of the local target.
-  BeatReply beat(const TargetBeat &Beat);
-  /// The local target says that it leaves.
-  void targetLeaves(const std::string &Id);
+  /// Handles a heartbeat of the local target.
+  HeartbeatReply onHeartbeat(const TargetHeartbeat &Heartbeat);
+  /// Handles the deregistration of the local target.
+  void onDeregister(const std::string &Id);
 
 private:
   void rowChanged(const MirroredRow &Row);
   void configurationChanged(const MirroredRow &Row);
   void membersChanged();
   void keyMapChanged(const MirroredRow &Row);
-  void announce();
+  /// Writes this daemon's member row until the table contains it.
+  void writeMemberRow();
+  /// Creates or removes the key coordinator as the configuration requires.
   void ensureCoordinator();
-  /// Applies a row that this daemon has written and tells it to all.
-  void passOn(const MirroredRow &Row);
+  /// Applies a row that this daemon has written and sends it to all peers.
+  void publishRow(const MirroredRow &Row);
   LinkFrame makeReport(bool WithRates) const;
   void sendReports();
-  void reported(const InstanceName &Peer, const LinkFrame &Report);
-  void peerRequest(std::uint64_t Link, LinkFrame &Frame, std::string Body);
-  void peerAnswer(std::uint64_t Link, std::uint64_t Stream,
-                  const TargetJobResult &Result);
+  void handleReport(const InstanceName &Peer, const LinkFrame &Report);
+  void handlePeerRequest(std::uint64_t Link, LinkFrame &Frame,
+                         std::string Body);
+  void sendPeerAnswer(std::uint64_t Link, std::uint64_t Stream,
+                      const TargetJobResult &Result);
   LinkFrame rowsFor(const LinkFrame &Wanted) const;
-  void takeRows(const LinkFrame &Rows);
+  void applyRows(const LinkFrame &Rows);
   std::vector<KeyCandidate> keyCandidates() const;
-  /// Of an owner that the key map names and nobody reports.
+  /// Condition of an owner that the key map names but no daemon reports.
   TargetCondition conditionOfUnreported(const KeyOwner &Owner) const;
   SliceLoads keyLoads() const;
-  /// Whether a peer is up and says that it reaches the platform's table.
-  bool seesTable(const InstanceName &Peer) const;
+  /// Whether a peer is up and reports that it can reach the platform's table.
+  bool reachesTable(const InstanceName &Peer) const;
   bool isKeyPlanner() const;
   /// Whether this daemon is one of the few that watch the own table.
   bool isWatcher() const;
@@ -83,13 +89,13 @@
   candidates(const ServiceName &Service) const;
   const KeyMap *keyMap(const ServiceName &Service) const;
 
-  /// What a peer last said of its target.
+  /// State of a peer's target, as last reported by the peer.
   struct PeerTarget {
     KeyOwner m_Owner;
     TargetCondition m_Condition = TargetCondition::Shaken;
     double m_Capacity = 1;
-    /// It reaches the platform's table.
-    bool m_SeesTable = false;
+    /// The peer can reach the platform's table.
+    bool m_ReachesTable = false;
     SliceLoads m_Rates{};
   };
   /// A peer's request at the local gate.
@@ -107,7 +113,7 @@
   TargetBoard m_Board;
   TargetAgent m_Agent;
   PeerMesh m_Mesh;
-  RowCatchUp m_CatchUp;
+  RowCatchUp m_RowCatchUp;
   TableFollower m_Follower;
   Entrance m_Entrance;
   HttpServer m_Callers;
@@ -121,10 +127,10 @@
   std::map<PeerJob, TargetAgent::JobId> m_PeerJobs;
   EventLoop::TimerId m_ReportTimer;
   TimePoint m_LastReport;
-  TimePoint m_LastRates;
+  TimePoint m_LastRatesReport;
   bool m_Announced = false;
-  std::optional<TimePoint> m_StopBegan;
-  /// While stopping: since when nothing has been under way.
+  std::optional<TimePoint> m_StopStartedAt;
+  /// While stopping: since when no request has been in progress.
   TimePoint m_IdleSince;
 };
 
--- a/tests/router_rig.h
+++ b/tests/router_rig.h
@@ -1,5 +1,5 @@
-// Routers on loopback with their tables, targets and callers, for the tests of
-// whole routers.
+// Routers on loopback with their tables, targets and callers, for tests of
+// complete routers.
 #pragma once
 
 #include "fake_table_service.h"
@@ -18,7 +18,7 @@
 
 inline Endpoint freeEndpoint() { return *Endpoint::fromText(freeAddress()); }
 
-/// Routes to the services "plain" and "keyed".
+/// Configuration with routes to the services "plain" and "keyed".
 inline std::string configuration(int Version, const std::string &Extra = "") {
   return R"({"Version":)" + std::to_string(Version) + R"(,"Services":[
     {"Name":"plain","MaxConnections":50,"ColdStartS":3,"ColdPerS":5},
@@ -33,7 +33,7 @@
          Extra + "]}]}";
 }
 
-/// A target that answers like the platform's.
+/// A target that answers in the platform's format.
 class Target {
 public:
   using Behaviour = std::function<std::optional<RawReply>(const std::string &)>;
@@ -68,7 +68,7 @@
   RawServer m_Server;
 };
 
-/// A router, its table and its target.
+/// A router with its table, its target and a caller.
 struct Instance {
   Instance(EventLoop &Loop, EventLog &Log, FakeRows &Rows,
            const std::string &Name, const std::string &Service)
@@ -79,30 +79,30 @@
     m_Settings.m_Target = m_Target.endpoint();
     m_Settings.m_Callers = freeEndpoint();
     m_Settings.m_Peers = freeEndpoint();
-    m_Settings.m_Heartbeat = 200ms;
-    m_Router = std::make_unique<Router>(Loop, m_Settings, m_Marks, m_Operators,
+    m_Settings.m_HeartbeatInterval = 200ms;
+    m_Router = std::make_unique<Router>(Loop, m_Settings, m_Format, m_Operators,
                                         m_Table, m_Metrics, Log);
     REQUIRE(m_Router->start());
     m_Callers = std::make_unique<HttpClient>(Loop, m_Settings.m_Callers,
                                              HttpClientOptions{});
   }
 
-  BeatReply beat(bool Draining = false, Duration ColdLeft = 0ms) {
-    TargetBeat Beat;
-    Beat.m_Target = {.m_Id = "target-" + m_Settings.m_Instance.value(),
-                     .m_BornMs = m_Born};
-    Beat.m_Service = m_Settings.m_Service;
-    Beat.m_Address = m_Settings.m_Target;
-    Beat.m_Slots = 4;
-    Beat.m_Draining = Draining;
-    Beat.m_ColdLeft = ColdLeft;
-    Beat.m_Sequence = ++m_Sequence;
-    return m_Router->beat(Beat);
+  HeartbeatReply sendHeartbeat(bool Draining = false, Duration ColdLeft = 0ms) {
+    TargetHeartbeat Heartbeat;
+    Heartbeat.m_Target = {.m_Id = "target-" + m_Settings.m_Instance.value(),
+                          .m_BornMs = m_Born};
+    Heartbeat.m_Service = m_Settings.m_Service;
+    Heartbeat.m_Address = m_Settings.m_Target;
+    Heartbeat.m_Slots = 4;
+    Heartbeat.m_Draining = Draining;
+    Heartbeat.m_ColdLeft = ColdLeft;
+    Heartbeat.m_Sequence = ++m_Sequence;
+    return m_Router->onHeartbeat(Heartbeat);
   }
 
   Target m_Target;
   RouterSettings m_Settings;
-  platform::HttpMarks m_Marks;
+  platform::HttpExchangeFormat m_Format;
   platform::OperatorTables m_Operators;
   RouterMetrics m_Metrics;
   FakeTableService m_Table;
@@ -128,8 +128,9 @@
     m_Rows.put(TableName::Operators, "config", configuration(Version, Extra));
   }
 
-  /// Runs until \p Done, at most ten seconds.
-  bool until(const std::function<bool()> &Done) {
+  /// Runs the event loop until \p Done returns true, for at most ten seconds.
+  /// \returns whether it did.
+  bool runUntil(const std::function<bool()> &Done) {
     const TimePoint Limit = bootNow() + 10s;
     bool Reached = false;
     m_Loop.run([&] {
@@ -140,62 +141,62 @@
     return Reached;
   }
 
-  void settle(Duration Time) {
+  void runFor(Duration Time) {
     const TimePoint End = bootNow() + Time;
-    until([&] { return bootNow() >= End; });
+    runUntil([&] { return bootNow() >= End; });
   }
 
   std::shared_ptr<std::optional<HttpCallResult>>
-  start(Instance &At, const std::string &Path, const std::string &Method,
+  start(Instance &Ingress, const std::string &Path, const std::string &Method,
         int Key = -1) {
     HttpCall Call{.m_Timeout = 5s};
     Call.m_Request = {.m_Method = Method, .m_Target = Path};
     HttpHeaders &Headers = Call.m_Request.m_Headers;
     Headers.add("Host", "h");
-    Headers.add("X-Request-Id", "id" + std::to_string(++m_LastId));
+    Headers.add("X-Request-Id", "id" + std::to_string(++m_LastRequestId));
     Headers.add("X-Deadline-Ms", "3000");
     if (Key >= 0)
       Headers.add("X-Shard-Key", std::to_string(Key));
     auto Result = std::make_shared<std::optional<HttpCallResult>>();
     m_LastCall =
-        At.m_Callers->call(std::move(Call), [Result](HttpCallResult Done) {
+        Ingress.m_Callers->call(std::move(Call), [Result](HttpCallResult Done) {
           *Result = std::move(Done);
         });
     return Result;
   }
 
-  HttpAnswer call(Instance &At, const std::string &Path,
+  HttpAnswer call(Instance &Ingress, const std::string &Path,
                   const std::string &Method = "GET", int Key = -1) {
-    auto Result = start(At, Path, Method, Key);
-    REQUIRE(until([&] { return Result->has_value(); }));
+    auto Result = start(Ingress, Path, Method, Key);
+    REQUIRE(runUntil([&] { return Result->has_value(); }));
     REQUIRE((*Result)->m_End == HttpCallEnd::Answered);
     return (*Result)->m_Answer;
   }
 
-  /// Waits until requests at \p At are served.
-  void served(Instance &At, const std::string &Path) {
+  /// Sends requests to \p Ingress until one succeeds.
+  void waitUntilServed(Instance &Ingress, const std::string &Path) {
     for (int Try = 0; Try < 50; ++Try) {
-      if (call(At, Path).m_Status == 200)
+      if (call(Ingress, Path).m_Status == 200)
         return;
-      settle(50ms);
+      runFor(50ms);
     }
     FAIL("not served");
   }
 
-  /// Configures, lets all targets beat, and waits until the first instance
-  /// serves.
-  void begin() {
+  /// Writes the configuration, sends a heartbeat of each target, and waits
+  /// until the first instance serves requests.
+  void startServing() {
     configure(1);
     for (const auto &Each : m_Instances)
-      Each->beat();
-    served(*m_Instances.front(), "/read/1");
+      Each->sendHeartbeat();
+    waitUntilServed(*m_Instances.front(), "/read/1");
   }
 
   EventLoop m_Loop;
   EventLog m_Log;
   FakeRows m_Rows;
   std::vector<std::unique_ptr<Instance>> m_Instances;
-  int m_LastId = 0;
+  int m_LastRequestId = 0;
   HttpClient::CallId m_LastCall;
 };
 
