--- a/include/balsamwheel/detail/coordination/config_tracker.h
+++ b/include/balsamwheel/detail/coordination/config_tracker.h
@@ -32,7 +32,7 @@
   std::vector<RowKey> rowsToReach(ConfigVersion Wanted) const;
 
 private:
-  struct KeptDelta {
+  struct StoredDelta {
     Row m_Row;
     RowVersion m_Head;
   };
@@ -43,7 +43,7 @@
   std::shared_ptr<const Config> m_Config;
   /// Head at which the last whole document came in.
   RowVersion m_DocumentHead;
-  std::map<std::uint64_t, KeptDelta> m_Deltas;
+  std::map<std::uint64_t, StoredDelta> m_Deltas;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/context.h
+++ b/include/balsamwheel/detail/coordination/context.h
@@ -29,9 +29,9 @@
   /// Merged changes that the coordinator has not yet passed to its parts.
   ClusterView::Change m_Changed;
 
-  void send(const PeerAddress &To, ControlMessage Message);
+  void send(const PeerAddress &Receiver, ControlMessage Message);
   /// Sends to a live session; drops the message if there is no such.
-  void sendTo(SessionId To, ControlMessage Message);
+  void sendTo(SessionId Receiver, ControlMessage Message);
   /// Merges rows and notes what changed.
   void merge(const std::vector<Row> &Rows);
 
--- a/include/balsamwheel/detail/coordination/group_leader.h
+++ b/include/balsamwheel/detail/coordination/group_leader.h
@@ -16,14 +16,14 @@
 class GroupLeader {
 public:
   /// Acknowledges a heartbeat, to this session or another.
-  using Acknowledge =
+  using AckSender =
       std::function<void(const PeerAddress &, const HeartbeatAck &, TimePoint)>;
   /// Asks a witness, this session or another, for a promise.
-  using AskWitness =
+  using PromiseRequestSender =
       std::function<void(SessionId Witness, const PromiseRequest &, TimePoint)>;
 
   GroupLeader(CoordinationContext &Context, HeadPoller &Poller,
-              Acknowledge OnAck, AskWitness OnAsk);
+              AckSender SendAck, PromiseRequestSender SendPromiseRequest);
 
   /// Writes the row of this group from now on.
   void setGroup(std::uint32_t Group);
@@ -40,22 +40,22 @@
   bool isLeader(TimePoint Now) const;
 
 private:
-  struct Pending {
+  struct PendingHeartbeat {
     Heartbeat m_Heartbeat;
     PeerAddress m_From;
   };
 
   GroupRow currentRow(std::uint32_t Group) const;
   bool isWriterFor(SessionId Session) const;
-  bool isFirst() const;
+  bool isFirstWriter() const;
   /// Grows with each failure of the table in a row.
   Duration retryDelay();
   void flush(TimePoint Now);
   void flushWithFreshView(TimePoint Now);
   /// \returns whether more than sequences changed.
   bool applyHeartbeats(GroupRow &Row);
-  bool applyOne(GroupRow &Row, const Pending &Value);
-  bool expelSilent(GroupRow &Row, TimePoint Now);
+  bool applyHeartbeat(GroupRow &Row, const PendingHeartbeat &Value);
+  bool expelSilentMembers(GroupRow &Row, TimePoint Now);
   void commitRow(GroupRow Next, bool Structural, TimePoint Now);
   void onCommitted(CommitResult Result, const std::vector<Row> &Rows,
                    bool Structural, TimePoint Now);
@@ -63,15 +63,15 @@
   void acknowledge(const GroupRow &Row, const GroupMember &Value,
                    TimePoint Now);
   /// Acknowledges heartbeats that another writer put into the row.
-  void releaseServed(TimePoint Now);
+  void acknowledgeCommitted(TimePoint Now);
   /// The head row was read lately enough to acknowledge.
-  bool knowsHead(TimePoint Now) const;
+  bool isHeadRecent(TimePoint Now) const;
   /// Time until the group's common beat, from the leader's clock alone.
-  Duration nextBeatIn(TimePoint Now) const;
+  Duration nextHeartbeatIn(TimePoint Now) const;
   void observe(const GroupRow &Row, TimePoint Now);
-  void askWitnesses(const GroupRow &Row, TimePoint Now);
+  void requestPromises(const GroupRow &Row, TimePoint Now);
   /// Notes members whose address a newer session listens at.
-  void noteReplaced(const GroupRow &Row, TimePoint Now);
+  void markReplacedSessions(const GroupRow &Row, TimePoint Now);
   void pollHead(TimePoint Now);
   void pushChanges();
   std::optional<std::uint32_t> nextGroup() const;
@@ -79,28 +79,28 @@
 
   CoordinationContext *m_Context;
   HeadPoller *m_Poller;
-  Acknowledge m_Acknowledge;
-  AskWitness m_AskWitness;
-  ExpulsionJudge m_Judge;
+  AckSender m_SendAck;
+  PromiseRequestSender m_SendPromiseRequest;
+  ExpulsionTracker m_Expulsion;
   std::uint32_t m_Group = 0;
   /// Heartbeats that do not stand in the table yet.
-  std::unordered_map<SessionId, Pending> m_Pending;
+  std::unordered_map<SessionId, PendingHeartbeat> m_Pending;
   std::vector<std::pair<PeerAddress, HeartbeatAck>> m_Refusals;
-  std::uint32_t m_Failures = 0;
+  std::uint32_t m_ConsecutiveFailures = 0;
   bool m_Writing = false;
   bool m_RemoveSelf = false;
-  std::function<void(bool Ok)> m_Removed;
+  std::function<void(bool Ok)> m_OnRemoved;
   TimePoint m_FlushAt = Never;
   TimePoint m_LastFlush;
-  TimePoint m_LedAt;
+  TimePoint m_LeadershipRenewedAt;
   TimePoint m_PollAt = Never;
-  TimePoint m_JudgeAt = Never;
-  std::uint32_t m_Polls = 0;
+  TimePoint m_ExpulsionCheckAt = Never;
+  std::uint32_t m_PollCount = 0;
   /// The next group's row as seen last, and since when it stands so.
   RowVersion m_WatchedVersion;
   TimePoint m_WatchedSince;
   /// Head version up to which the group's members were sent changes.
-  RowVersion m_Pushed;
+  RowVersion m_PushedHead;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/lease.h
+++ b/include/balsamwheel/detail/coordination/lease.h
@@ -28,7 +28,7 @@
   void onGrant(std::uint64_t Sequence, SessionId Witness,
                const std::vector<SessionId> &Witnesses);
   /// Ends the lease at once.
-  void drop();
+  void release();
 
   bool holds(TimePoint Now) const;
   TimePoint end() const { return m_End; }
@@ -47,9 +47,9 @@
   bool m_Extended = false;
   std::uint64_t m_Sequence = 0;
   std::uint64_t m_Committed = 0;
-  TimePoint m_CommittedSent;
+  TimePoint m_CommittedSendTime;
   /// Send times of the last renewals.
-  std::map<std::uint64_t, TimePoint> m_Sent;
+  std::map<std::uint64_t, TimePoint> m_SendTimes;
   std::map<std::uint64_t, std::set<SessionId>> m_Grants;
 };
 
--- a/include/balsamwheel/detail/coordination/membership.h
+++ b/include/balsamwheel/detail/coordination/membership.h
@@ -62,22 +62,22 @@
   void readTable(TimePoint Now);
   void beginJoin(TimePoint Now);
   std::uint32_t chooseGroup() const;
-  void restart(TimePoint Now);
-  void beat(TimePoint Now);
-  void sendBeat(TimePoint Now);
-  void broadcastBeat();
-  Heartbeat makeBeat() const;
+  void rejoinAsNewSession(TimePoint Now);
+  void startHeartbeat(TimePoint Now);
+  void sendToNextWriter(TimePoint Now);
+  void broadcastHeartbeat();
+  Heartbeat makeHeartbeat() const;
   /// Who writes the row: members in turn, this session last.
-  std::vector<SessionId> beatOrder(TimePoint Now) const;
-  void askExtension(TimePoint Now);
-  void noteWitnessed(TimePoint Now);
-  void entryChanged(TimePoint Now);
+  std::vector<SessionId> writerOrder(TimePoint Now) const;
+  void requestExtension(TimePoint Now);
+  void updateWitnessedSessions(TimePoint Now);
+  void onEntryChanged(TimePoint Now);
   PromiseReply answerPromise(const PromiseRequest &Message, TimePoint Now);
   /// Moves the next heartbeat to the common beat of the group.
-  void joinBeat(TimePoint Common);
+  void alignHeartbeat(TimePoint GroupHeartbeatAt);
   void applyAck(const HeartbeatAck &Message, const PeerAddress &From,
                 TimePoint Now);
-  void prefer(const PeerAddress &Writer, TimePoint Now);
+  void preferWriter(const PeerAddress &Writer, TimePoint Now);
   void scheduleExtension();
   bool isUpToDate(RowVersion Head, TimePoint Now) const;
 
@@ -93,9 +93,9 @@
   /// The first heartbeat that carries the current entry.
   std::uint64_t m_EntrySequence = 1;
   TimePoint m_RetryAt = Never;
-  TimePoint m_BeatAt = Never;
-  TimePoint m_LastBeat;
-  std::uint64_t m_Beats = 0;
+  TimePoint m_HeartbeatAt = Never;
+  TimePoint m_LastHeartbeat;
+  std::uint64_t m_HeartbeatCount = 0;
   /// When the current heartbeat goes to the next member.
   TimePoint m_NextAttemptAt = Never;
   TimePoint m_ExtendAt = Never;
@@ -104,14 +104,14 @@
   /// Heartbeats in a row that needed another writer.
   std::size_t m_Failovers = 0;
   /// Goes first in the order of writers for a while.
-  SessionId m_Preferred;
-  TimePoint m_PreferUntil;
+  SessionId m_PreferredWriter;
+  TimePoint m_PreferredUntil;
   /// Row version of the last acknowledged commit.
   RowVersion m_AckedRow;
   /// Head version that the previous acknowledgement named.
-  RowVersion m_HeadNamed;
+  RowVersion m_AckedHead;
   /// An acknowledgement that waits until the view is as new as it says.
-  std::optional<HeartbeatAck> m_Deferred;
+  std::optional<HeartbeatAck> m_DeferredAck;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/table_client.h
+++ b/include/balsamwheel/detail/coordination/table_client.h
@@ -51,7 +51,7 @@
 
   void finishCommit(PendingCommit Pending, const TableReply &Reply,
                     TimePoint Now);
-  void settle(PendingCommit Pending, TimePoint Now);
+  void resolveAmbiguous(PendingCommit Pending, TimePoint Now);
 
   Effects *m_Effects;
   std::uint64_t m_LastTicket = 0;
--- a/include/balsamwheel/detail/coordination/witness.h
+++ b/include/balsamwheel/detail/coordination/witness.h
@@ -18,18 +18,18 @@
 /// until the subject shows a higher committed sequence.
 class Witness {
 public:
-  explicit Witness(Duration GrantTime) : m_GrantTime(GrantTime) {}
+  explicit Witness(Duration GrantDuration) : m_GrantDuration(GrantDuration) {}
 
   /// The group's row names this session as a witness of \p Subject.
-  void onNamed(SessionId Subject, TimePoint Now);
+  void onAssigned(SessionId Subject, TimePoint Now);
   /// Asks for an extension.
   ///
   /// \param Committed the subject's last sequence in the table.
-  bool grant(SessionId Subject, std::uint64_t Committed, TimePoint Now);
+  bool tryGrant(SessionId Subject, std::uint64_t Committed, TimePoint Now);
   /// Asks for a promise.
   ///
   /// \returns whether no extension is outstanding any more.
-  bool promise(SessionId Subject, std::uint64_t Sequence, TimePoint Now);
+  bool tryPromise(SessionId Subject, std::uint64_t Sequence, TimePoint Now);
   void forget(SessionId Subject);
 
 private:
@@ -38,11 +38,11 @@
     /// until then.
     TimePoint m_GrantedUntil;
     /// Highest sequence for which a promise was given; 0 if none.
-    std::uint64_t m_Promised = 0;
+    std::uint64_t m_PromisedSequence = 0;
   };
 
   /// The lease plus the margin for clock drift.
-  Duration m_GrantTime;
+  Duration m_GrantDuration;
   std::unordered_map<SessionId, Record> m_Records;
 };
 
--- a/src/coordination/config_tracker.cpp
+++ b/src/coordination/config_tracker.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// More missing versions than this are fetched as one document.
-constexpr std::uint64_t MostDeltasRead = 16;
+constexpr std::uint64_t MaxDeltasToFetch = 16;
 
 std::optional<std::uint64_t> deltaVersion(const RowKey &Key) {
   const std::string &Text = Key.value();
@@ -88,7 +88,7 @@
   const std::uint64_t Known = version().value();
   if (Wanted.value() <= Known)
     return {};
-  if (Known == 0 || Wanted.value() - Known > MostDeltasRead)
+  if (Known == 0 || Wanted.value() - Known > MaxDeltasToFetch)
     return {ConfigHeadRow};
   std::vector<RowKey> Result;
   for (std::uint64_t Next = Known + 1; Next <= Wanted.value(); ++Next)
--- a/src/coordination/context.cpp
+++ b/src/coordination/context.cpp
@@ -13,13 +13,13 @@
       m_Random(Seed, hashKey(m_Options.m_Instance.value()).value()),
       m_Session(newSession()), m_Table(m_Effects) {}
 
-void CoordinationContext::send(const PeerAddress &To, ControlMessage Message) {
-  if (To != m_Options.m_Peer)
-    m_Effects.push_back(SendControl{To, std::move(Message)});
+void CoordinationContext::send(const PeerAddress &Receiver, ControlMessage Message) {
+  if (Receiver != m_Options.m_Peer)
+    m_Effects.push_back(SendControl{Receiver, std::move(Message)});
 }
 
-void CoordinationContext::sendTo(SessionId To, ControlMessage Message) {
-  if (const Member *Found = m_View.findMember(To))
+void CoordinationContext::sendTo(SessionId Receiver, ControlMessage Message) {
+  if (const Member *Found = m_View.findMember(Receiver))
     send(Found->m_Peer, std::move(Message));
 }
 
@@ -32,10 +32,10 @@
 }
 
 SessionId CoordinationContext::newSession() {
-  std::uint64_t Value = 0;
-  while (Value == 0)
-    Value = m_Random();
-  return SessionId(Value);
+  std::uint64_t Result = 0;
+  while (Result == 0)
+    Result = m_Random();
+  return SessionId(Result);
 }
 
 WriteId CoordinationContext::newWriteId() {
--- a/src/coordination/expulsion.cpp
+++ b/src/coordination/expulsion.cpp
@@ -5,76 +5,76 @@
 
 namespace balsamwheel {
 
-void ExpulsionJudge::observe(SessionId Session, std::uint64_t Sequence,
+void ExpulsionTracker::observe(SessionId Session, std::uint64_t Sequence,
                              TimePoint Now) {
   const auto [Found, New] = m_Records.try_emplace(Session);
-  Record &Kept = Found->second;
-  if (!New && Sequence <= Kept.m_Sequence)
+  Record &Tracked = Found->second;
+  if (!New && Sequence <= Tracked.m_Sequence)
     return;
-  Kept = {.m_Sequence = Sequence, .m_Since = Now, .m_Promises = {}};
+  Tracked = {.m_Sequence = Sequence, .m_UnchangedSince = Now, .m_Promises = {}};
 }
 
-void ExpulsionJudge::observe(const GroupMember &Subject, TimePoint Now) {
+void ExpulsionTracker::observe(const GroupMember &Subject, TimePoint Now) {
   const SessionId Session = Subject.m_Member.m_Session;
   observe(Session, Subject.m_Sequence, Now);
-  const auto [Found, New] = m_Sets.try_emplace(Session);
+  const auto [Found, New] = m_WitnessSets.try_emplace(Session);
   if (New || Found->second.m_Witnesses != Subject.m_Witnesses)
-    Found->second = {.m_Witnesses = Subject.m_Witnesses, .m_Since = Now};
+    Found->second = {.m_Witnesses = Subject.m_Witnesses, .m_UnchangedSince = Now};
 }
 
-void ExpulsionJudge::noteReplaced(SessionId Witness, TimePoint Now) {
+void ExpulsionTracker::markReplaced(SessionId Witness, TimePoint Now) {
   m_Replaced.try_emplace(Witness, Now);
 }
 
-void ExpulsionJudge::forget(SessionId Session) {
+void ExpulsionTracker::forget(SessionId Session) {
   m_Records.erase(Session);
-  m_Sets.erase(Session);
+  m_WitnessSets.erase(Session);
   m_Replaced.erase(Session);
 }
 
-bool ExpulsionJudge::isReplaced(SessionId Witness, TimePoint Now) const {
+bool ExpulsionTracker::isReplacedAndExpired(SessionId Witness, TimePoint Now) const {
   const auto Found = m_Replaced.find(Witness);
-  return Found != m_Replaced.end() && Now - Found->second >= m_Options.m_Wait;
+  return Found != m_Replaced.end() && Now - Found->second >= m_Options.m_LeaseWait;
 }
 
-std::size_t ExpulsionJudge::withheld(const GroupMember &Subject,
+std::size_t ExpulsionTracker::countNonGranting(const GroupMember &Subject,
                                      TimePoint Now) const {
   std::size_t Result = 0;
   for (SessionId Witness : Subject.m_Witnesses)
-    if (hasPromised(Subject, Witness) || isReplaced(Witness, Now))
+    if (hasPromised(Subject, Witness) || isReplacedAndExpired(Witness, Now))
       ++Result;
-  const auto Set = m_Sets.find(Subject.m_Member.m_Session);
-  const bool VacancyCounts = Set != m_Sets.end() &&
+  const auto Set = m_WitnessSets.find(Subject.m_Member.m_Session);
+  const bool CountVacancies = Set != m_WitnessSets.end() &&
                              Set->second.m_Witnesses == Subject.m_Witnesses &&
-                             Now - Set->second.m_Since >= m_Options.m_Wait;
-  if (VacancyCounts)
+                             Now - Set->second.m_UnchangedSince >= m_Options.m_LeaseWait;
+  if (CountVacancies)
     Result += WitnessCount - Subject.m_Witnesses.size();
   return Result;
 }
 
-bool ExpulsionJudge::mayExpel(const GroupMember &Subject, TimePoint Now) const {
-  if (!waitIsOver(Subject, Now))
+bool ExpulsionTracker::mayExpel(const GroupMember &Subject, TimePoint Now) const {
+  if (!isLeaseWaitOver(Subject, Now))
     return false;
-  if (!m_Options.m_UseWitnesses || limitIsOver(Subject, Now))
+  if (!m_Options.m_UseWitnesses || isPastPromiseLimit(Subject, Now))
     return true;
-  return withheld(Subject, Now) > WitnessCount - WitnessQuorum;
+  return countNonGranting(Subject, Now) > WitnessCount - WitnessQuorum;
 }
 
-void ExpulsionJudge::onPromise(SessionId Subject, std::uint64_t Sequence,
-                               SessionId By) {
+void ExpulsionTracker::onPromise(SessionId Subject, std::uint64_t Sequence,
+                               SessionId Witness) {
   const auto Found = m_Records.find(Subject);
   if (Found != m_Records.end() && Found->second.m_Sequence == Sequence)
-    Found->second.m_Promises.insert(By);
+    Found->second.m_Promises.insert(Witness);
 }
 
-bool ExpulsionJudge::isSuspect(const GroupMember &Subject,
+bool ExpulsionTracker::isSuspect(const GroupMember &Subject,
                                TimePoint Now) const {
   const auto Found = m_Records.find(Subject.m_Member.m_Session);
   return Found != m_Records.end() &&
-         Now - Found->second.m_Since >= m_Options.m_Suspect;
+         Now - Found->second.m_UnchangedSince >= m_Options.m_SuspectAfter;
 }
 
-bool ExpulsionJudge::waitIsOver(const GroupMember &Subject,
+bool ExpulsionTracker::isLeaseWaitOver(const GroupMember &Subject,
                                 TimePoint Now) const {
   const auto Found = m_Records.find(Subject.m_Member.m_Session);
   if (Found == m_Records.end() ||
@@ -82,17 +82,17 @@
     return false;
   if (!enforced<Rule::TakerWait>())
     return isSuspect(Subject, Now);
-  return Now - Found->second.m_Since >= m_Options.m_Wait;
+  return Now - Found->second.m_UnchangedSince >= m_Options.m_LeaseWait;
 }
 
-bool ExpulsionJudge::limitIsOver(const GroupMember &Subject,
+bool ExpulsionTracker::isPastPromiseLimit(const GroupMember &Subject,
                                  TimePoint Now) const {
   const auto Found = m_Records.find(Subject.m_Member.m_Session);
   return Found != m_Records.end() &&
-         Now - Found->second.m_Since >= m_Options.m_ExtensionLimit;
+         Now - Found->second.m_UnchangedSince >= m_Options.m_PromiseLimit;
 }
 
-bool ExpulsionJudge::hasPromised(const GroupMember &Subject,
+bool ExpulsionTracker::hasPromised(const GroupMember &Subject,
                                  SessionId Witness) const {
   const auto Found = m_Records.find(Subject.m_Member.m_Session);
   return Found != m_Records.end() &&
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -12,12 +12,12 @@
 constexpr Duration BatchDelay = std::chrono::milliseconds(60);
 /// Least time between two writes of the row; with the batch delay it stays
 /// below the time after which members turn to another writer.
-constexpr Duration LeastFlushGap = std::chrono::milliseconds(120);
+constexpr Duration MinFlushInterval = std::chrono::milliseconds(120);
 constexpr Duration RetryDelay = std::chrono::milliseconds(200);
 /// So many members, first in order, write the row for others.
-constexpr std::ptrdiff_t MostWriters = 4;
+constexpr std::ptrdiff_t MaxWriters = 4;
 constexpr Duration ConflictJitter = std::chrono::milliseconds(40);
-constexpr Duration JudgePeriod = std::chrono::milliseconds(100);
+constexpr Duration ExpulsionCheckPeriod = std::chrono::milliseconds(100);
 /// Witnesses extend a lease at most so long past its last commit.
 constexpr Duration ExtensionLimit = std::chrono::hours(1);
 /// Every so many polls of the head row the next group is looked at.
@@ -25,30 +25,30 @@
 /// Members beyond the group size that concurrent joins may add.
 constexpr std::size_t GroupOverflow = 4;
 
-ExpulsionJudge::Options judgeOptions(const CoordinatorOptions &Options) {
+ExpulsionTracker::Options expulsionOptions(const CoordinatorOptions &Options) {
   const CoordinationTiming &Timing = Options.m_Timing;
-  return {.m_Wait = Timing.m_Lease + Timing.m_LeaseMargin,
-          .m_ExtensionLimit =
+  return {.m_LeaseWait = Timing.m_Lease + Timing.m_LeaseMargin,
+          .m_PromiseLimit =
               ExtensionLimit + Timing.m_Lease + Timing.m_LeaseMargin,
-          .m_Suspect = Timing.m_HeartbeatPeriod + Timing.m_AckTimeout,
+          .m_SuspectAfter = Timing.m_HeartbeatPeriod + Timing.m_AckTimeout,
           .m_UseWitnesses = Options.m_UseWitnesses};
 }
 
 } // namespace
 
 GroupLeader::GroupLeader(CoordinationContext &Context, HeadPoller &Poller,
-                         Acknowledge OnAck, AskWitness OnAsk)
-    : m_Context(&Context), m_Poller(&Poller), m_Acknowledge(std::move(OnAck)),
-      m_AskWitness(std::move(OnAsk)), m_Judge(judgeOptions(Context.m_Options)) {
+                         AckSender SendAck, PromiseRequestSender SendPromiseRequest)
+    : m_Context(&Context), m_Poller(&Poller), m_SendAck(std::move(SendAck)),
+      m_SendPromiseRequest(std::move(SendPromiseRequest)), m_Expulsion(expulsionOptions(Context.m_Options)) {
 }
 
 void GroupLeader::setGroup(std::uint32_t Group) {
   m_Group = Group;
   m_Pending.clear();
   m_FlushAt = Never;
-  m_LedAt = TimePoint{};
+  m_LeadershipRenewedAt = TimePoint{};
   m_PollAt = Never;
-  m_JudgeAt = Never;
+  m_ExpulsionCheckAt = Never;
 }
 
 GroupRow GroupLeader::currentRow(std::uint32_t Group) const {
@@ -60,17 +60,17 @@
 }
 
 bool GroupLeader::isLeader(TimePoint Now) const {
-  return m_LedAt != TimePoint{} &&
-         Now - m_LedAt <= 2 * m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
+  return m_LeadershipRenewedAt != TimePoint{} &&
+         Now - m_LeadershipRenewedAt <= 2 * m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
 }
 
 void GroupLeader::onHeartbeat(const Heartbeat &Message, const PeerAddress &From,
                               TimePoint Now) {
   if (Message.m_Group != m_Group)
     return;
-  m_Judge.observe(Message.m_Session, Message.m_Sequence, Now);
+  m_Expulsion.observe(Message.m_Session, Message.m_Sequence, Now);
   const auto [Found, New] = m_Pending.try_emplace(Message.m_Session);
-  Pending &Kept = Found->second;
+  PendingHeartbeat &Kept = Found->second;
   if (New || Message.m_Sequence >= Kept.m_Heartbeat.m_Sequence) {
     std::string Entry = std::move(Kept.m_Heartbeat.m_Entry);
     Kept = {.m_Heartbeat = Message, .m_From = From};
@@ -78,7 +78,7 @@
       Kept.m_Heartbeat.m_Entry = std::move(Entry);
   }
   if (m_FlushAt == Never && isWriterFor(Message.m_Session))
-    m_FlushAt = std::max(Now + BatchDelay, m_LastFlush + LeastFlushGap);
+    m_FlushAt = std::max(Now + BatchDelay, m_LastFlush + MinFlushInterval);
 }
 
 bool GroupLeader::isWriterFor(SessionId Session) const {
@@ -86,23 +86,23 @@
     return true;
   const std::vector<SessionId> Order = leaderOrder(currentRow(m_Group));
   const auto Own = std::ranges::find(Order, m_Context->m_Session);
-  return std::distance(Order.begin(), Own) < MostWriters;
+  return std::distance(Order.begin(), Own) < MaxWriters;
 }
 
-bool GroupLeader::isFirst() const {
+bool GroupLeader::isFirstWriter() const {
   const std::vector<SessionId> Order = leaderOrder(currentRow(m_Group));
   return Order.empty() || Order.front() == m_Context->m_Session;
 }
 
 Duration GroupLeader::retryDelay() {
-  const Duration Delay = RetryDelay * (1U << std::min(m_Failures, 2U));
-  ++m_Failures;
+  const Duration Delay = RetryDelay * (1U << std::min(m_ConsecutiveFailures, 2U));
+  ++m_ConsecutiveFailures;
   return Delay + m_Context->jitter(RetryDelay);
 }
 
 void GroupLeader::onPromiseReply(const PromiseReply &Reply) {
   if (Reply.m_Promised)
-    m_Judge.onPromise(Reply.m_Subject, Reply.m_Sequence, Reply.m_Witness);
+    m_Expulsion.onPromise(Reply.m_Subject, Reply.m_Sequence, Reply.m_Witness);
 }
 
 void GroupLeader::flush(TimePoint Now) {
@@ -112,9 +112,9 @@
     return;
   }
   const bool Fresh =
-      Now - m_Poller->freshAt() <= m_Context->m_Options.m_Timing.m_Lease / 2;
+      Now - m_Poller->upToDateAt() <= m_Context->m_Options.m_Timing.m_Lease / 2;
   // Others look first whether the one in front has written meanwhile.
-  if (Fresh && isFirst()) {
+  if (Fresh && isFirstWriter()) {
     flushWithFreshView(Now);
     return;
   }
@@ -131,22 +131,22 @@
 void GroupLeader::flushWithFreshView(TimePoint Now) {
   GroupRow Row = currentRow(m_Group);
   observe(Row, Now);
-  releaseServed(Now);
-  const bool HadWork = !m_Pending.empty() || m_RemoveSelf;
+  acknowledgeCommitted(Now);
+  const bool HadPending = !m_Pending.empty() || m_RemoveSelf;
   bool Structural = applyHeartbeats(Row);
-  Structural = expelSilent(Row, Now) || Structural;
+  Structural = expelSilentMembers(Row, Now) || Structural;
   if (m_RemoveSelf) {
     Structural = Structural || Row.find(m_Context->m_Session);
     Row.remove(m_Context->m_Session);
   }
-  if (HadWork || Structural)
+  if (HadPending || Structural)
     commitRow(std::move(Row), Structural, Now);
 }
 
 bool GroupLeader::applyHeartbeats(GroupRow &Row) {
   bool Structural = false;
   for (auto Next = m_Pending.begin(); Next != m_Pending.end();) {
-    const Pending &Value = Next->second;
+    const PendingHeartbeat &Value = Next->second;
     const SessionId Session = Value.m_Heartbeat.m_Session;
     const bool Known = Row.find(Session) != nullptr;
     const bool Admissible =
@@ -162,36 +162,36 @@
       Next = m_Pending.erase(Next);
       continue;
     }
-    Structural = applyOne(Row, Value) || Structural;
+    Structural = applyHeartbeat(Row, Value) || Structural;
     ++Next;
   }
   return Structural;
 }
 
-bool GroupLeader::applyOne(GroupRow &Row, const Pending &Value) {
-  const Heartbeat &Beat = Value.m_Heartbeat;
+bool GroupLeader::applyHeartbeat(GroupRow &Row, const PendingHeartbeat &Value) {
+  const Heartbeat &Message = Value.m_Heartbeat;
   std::optional<Member> Entry;
-  if (!Beat.m_Entry.empty())
-    Entry = parseEntry(Beat.m_Entry);
-  GroupMember *Known = Row.find(Beat.m_Session);
+  if (!Message.m_Entry.empty())
+    Entry = parseEntry(Message.m_Entry);
+  GroupMember *Known = Row.find(Message.m_Session);
   bool Structural = false;
   if (!Known) {
-    if (!Entry || Entry->m_Session != Beat.m_Session)
+    if (!Entry || Entry->m_Session != Message.m_Session)
       return false;
     Row.m_Members.push_back(
         {.m_Member = *Entry, .m_Sequence = 0, .m_Witnesses = {}});
     Known = &Row.m_Members.back();
     Structural = true;
-  } else if (Beat.m_Sequence <= Known->m_Sequence) {
+  } else if (Message.m_Sequence <= Known->m_Sequence) {
     return false;
   } else if (Entry && toEntry(*Entry) != toEntry(Known->m_Member)) {
     Entry->m_ConfigApplied = Known->m_Member.m_ConfigApplied;
     Known->m_Member = *Entry;
     Structural = true;
   }
-  Known->m_Sequence = Beat.m_Sequence;
+  Known->m_Sequence = Message.m_Sequence;
   Known->m_Member.m_ConfigApplied =
-      std::max(Known->m_Member.m_ConfigApplied, Beat.m_ConfigApplied);
+      std::max(Known->m_Member.m_ConfigApplied, Message.m_ConfigApplied);
   return Structural;
 }
 
@@ -223,7 +223,7 @@
     m_FlushAt = Now + retryDelay();
     return;
   }
-  m_Failures = 0;
+  m_ConsecutiveFailures = 0;
   if (Result == CommitResult::Refused) {
     m_Poller->poll(Now, {groupRowKey(m_Group)}, [this](bool, TimePoint Later) {
       m_FlushAt = Later + m_Context->jitter(ConflictJitter);
@@ -233,22 +233,22 @@
   m_Context->merge(Rows);
   m_LastFlush = Now;
   if (Structural)
-    m_Poller->noteFresh(Now);
+    m_Poller->markUpToDate(Now);
   if (!isLeader(Now)) {
     m_PollAt = Now;
-    m_JudgeAt = Now;
+    m_ExpulsionCheckAt = Now;
   }
-  m_LedAt = Now;
+  m_LeadershipRenewedAt = Now;
   observe(currentRow(m_Group), Now);
   // Only now is the row known to be the newest: a promise that is asked for a
   // live member would bar its extension.
-  askWitnesses(currentRow(m_Group), Now);
+  requestPromises(currentRow(m_Group), Now);
   acknowledgeAll(Now);
   if (!m_Pending.empty())
-    m_FlushAt = Now + LeastFlushGap;
-  if (m_RemoveSelf && m_Removed) {
+    m_FlushAt = Now + MinFlushInterval;
+  if (m_RemoveSelf && m_OnRemoved) {
     m_RemoveSelf = false;
-    std::exchange(m_Removed, nullptr)(true);
+    std::exchange(m_OnRemoved, nullptr)(true);
   }
 }
 
@@ -260,25 +260,25 @@
   Ack.m_SequenceCommitted = Value.m_Sequence;
   Ack.m_GroupRow = Row.m_Version;
   Ack.m_Head = m_Context->m_View.completeHead();
-  if (isFirst())
-    Ack.m_NextBeatIn = nextBeatIn(Now);
-  m_Acknowledge(Value.m_Member.m_Peer, Ack, Now);
+  if (isFirstWriter())
+    Ack.m_NextBeatIn = nextHeartbeatIn(Now);
+  m_SendAck(Value.m_Member.m_Peer, Ack, Now);
 }
 
-Duration GroupLeader::nextBeatIn(TimePoint Now) const {
+Duration GroupLeader::nextHeartbeatIn(TimePoint Now) const {
   const Duration Period = m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
   return Period - Now.time_since_epoch() % Period;
 }
 
-bool GroupLeader::knowsHead(TimePoint Now) const {
-  return Now - m_Poller->freshAt() <= m_Context->m_Options.m_Timing.m_Lease;
+bool GroupLeader::isHeadRecent(TimePoint Now) const {
+  return Now - m_Poller->upToDateAt() <= m_Context->m_Options.m_Timing.m_Lease;
 }
 
 void GroupLeader::acknowledgeAll(TimePoint Now) {
-  for (auto &[To, Refusal] : std::exchange(m_Refusals, {}))
-    m_Acknowledge(To, Refusal, Now);
+  for (auto &[Receiver, Refusal] : std::exchange(m_Refusals, {}))
+    m_SendAck(Receiver, Refusal, Now);
   const GroupRow Row = currentRow(m_Group);
-  if (knowsHead(Now))
+  if (isHeadRecent(Now))
     for (const GroupMember &Value : Row.m_Members)
       acknowledge(Row, Value, Now);
   std::erase_if(m_Pending, [&Row](const auto &Item) {
@@ -287,7 +287,7 @@
   });
 }
 
-void GroupLeader::releaseServed(TimePoint Now) {
+void GroupLeader::acknowledgeCommitted(TimePoint Now) {
   const GroupRow Row = currentRow(m_Group);
   for (auto Next = m_Pending.begin(); Next != m_Pending.end();) {
     const GroupMember *Known = Row.find(Next->first);
@@ -295,7 +295,7 @@
       ++Next;
       continue;
     }
-    if (knowsHead(Now))
+    if (isHeadRecent(Now))
       acknowledge(Row, *Known, Now);
     Next = m_Pending.erase(Next);
   }
@@ -303,18 +303,18 @@
 
 void GroupLeader::onViewChanged(TimePoint Now) {
   const RowVersion Complete = m_Context->m_View.completeHead();
-  if (isLeader(Now) && m_Pushed < Complete)
+  if (isLeader(Now) && m_PushedHead < Complete)
     pushChanges();
-  m_Pushed = Complete;
+  m_PushedHead = Complete;
   if (m_Context->m_Changed.m_Members)
-    noteReplaced(currentRow(m_Group), Now);
-  releaseServed(Now);
+    markReplacedSessions(currentRow(m_Group), Now);
+  acknowledgeCommitted(Now);
 }
 
 void GroupLeader::pushChanges() {
   Changes Message;
   Message.m_Head = m_Context->m_View.completeHead();
-  Message.m_Rows = m_Context->m_View.rowsSince(m_Pushed);
+  Message.m_Rows = m_Context->m_View.rowsSince(m_PushedHead);
   for (const GroupMember &Value : currentRow(m_Group).m_Members)
     m_Context->send(Value.m_Member.m_Peer, Message);
 }
@@ -326,7 +326,7 @@
   m_PollAt = Now + m_Context->m_Options.m_Timing.m_HeadPollPeriod;
   if (m_Poller->isBusy())
     return;
-  if (++m_Polls % PollsPerWatch == 0 && nextGroup()) {
+  if (++m_PollCount % PollsPerWatch == 0 && nextGroup()) {
     watchNextGroup(Now);
     return;
   }
@@ -335,17 +335,17 @@
 
 void GroupLeader::removeSelf(TimePoint Now, std::function<void(bool)> Done) {
   m_RemoveSelf = true;
-  m_Removed = std::move(Done);
+  m_OnRemoved = std::move(Done);
   m_Pending.erase(m_Context->m_Session);
   m_FlushAt = Now;
 }
 
 void GroupLeader::onTick(TimePoint Now) {
-  if (Now >= m_JudgeAt) {
-    m_JudgeAt = isLeader(Now) ? Now + JudgePeriod : Never;
+  if (Now >= m_ExpulsionCheckAt) {
+    m_ExpulsionCheckAt = isLeader(Now) ? Now + ExpulsionCheckPeriod : Never;
     GroupRow Row = currentRow(m_Group);
     observe(Row, Now);
-    if (m_FlushAt == Never && !m_Writing && expelSilent(Row, Now))
+    if (m_FlushAt == Never && !m_Writing && expelSilentMembers(Row, Now))
       m_FlushAt = Now;
   }
   if (Now >= m_PollAt)
@@ -355,7 +355,7 @@
 }
 
 TimePoint GroupLeader::nextWake() const {
-  return std::min({m_FlushAt, m_PollAt, m_JudgeAt});
+  return std::min({m_FlushAt, m_PollAt, m_ExpulsionCheckAt});
 }
 
 } // namespace balsamwheel
--- a/src/coordination/group_leader_expulsion.cpp
+++ b/src/coordination/group_leader_expulsion.cpp
@@ -6,21 +6,21 @@
 
 namespace balsamwheel {
 
-void GroupLeader::noteReplaced(const GroupRow &Row, TimePoint Now) {
+void GroupLeader::markReplacedSessions(const GroupRow &Row, TimePoint Now) {
   // Members stand in the order in which they joined.
   std::map<PeerAddress, SessionId> Newest;
-  for (const GroupMember &Value : Row.m_Members)
-    Newest[Value.m_Member.m_Peer] = Value.m_Member.m_Session;
-  for (const GroupMember &Value : Row.m_Members)
-    if (Newest[Value.m_Member.m_Peer] != Value.m_Member.m_Session)
-      m_Judge.noteReplaced(Value.m_Member.m_Session, Now);
+  for (const GroupMember &Each : Row.m_Members)
+    Newest[Each.m_Member.m_Peer] = Each.m_Member.m_Session;
+  for (const GroupMember &Each : Row.m_Members)
+    if (Newest[Each.m_Member.m_Peer] != Each.m_Member.m_Session)
+      m_Expulsion.markReplacedSessions(Each.m_Member.m_Session, Now);
 }
 
-bool GroupLeader::expelSilent(GroupRow &Row, TimePoint Now) {
+bool GroupLeader::expelSilentMembers(GroupRow &Row, TimePoint Now) {
   std::vector<SessionId> Silent;
   for (const GroupMember &Subject : Row.m_Members) {
     const SessionId Session = Subject.m_Member.m_Session;
-    if (Session != m_Context->m_Session && m_Judge.mayExpel(Subject, Now))
+    if (Session != m_Context->m_Session && m_Expulsion.mayExpel(Subject, Now))
       Silent.push_back(Session);
   }
   for (SessionId Session : Silent) {
@@ -31,16 +31,16 @@
 }
 
 void GroupLeader::observe(const GroupRow &Row, TimePoint Now) {
-  for (const GroupMember &Value : Row.m_Members)
-    m_Judge.observe(Value, Now);
+  for (const GroupMember &Each : Row.m_Members)
+    m_Expulsion.observe(Each, Now);
 }
 
-void GroupLeader::askWitnesses(const GroupRow &Row, TimePoint Now) {
+void GroupLeader::requestPromises(const GroupRow &Row, TimePoint Now) {
   if (!m_Context->m_Options.m_UseWitnesses)
     return;
   for (const GroupMember &Subject : Row.m_Members) {
     if (Subject.m_Member.m_Session == m_Context->m_Session ||
-        !m_Judge.isSuspect(Subject, Now))
+        !m_Expulsion.isSuspect(Subject, Now))
       continue;
     PromiseRequest Request;
     Request.m_Subject = Subject.m_Member.m_Session;
@@ -48,7 +48,7 @@
     Request.m_Group = Row.m_Group;
     Request.m_GroupRow = Row.m_Version;
     for (SessionId Witness : Subject.m_Witnesses)
-      m_AskWitness(Witness, Request, Now);
+      m_SendPromiseRequest(Witness, Request, Now);
   }
 }
 
@@ -81,8 +81,8 @@
         const CoordinationTiming &Timing = m_Context->m_Options.m_Timing;
         if (Later - m_WatchedSince < Timing.m_Lease + Timing.m_LeaseMargin)
           return;
-        askWitnesses(Row, Later);
-        if (expelSilent(Row, Later))
+        requestPromises(Row, Later);
+        if (expelSilentMembers(Row, Later))
           commitRow(std::move(Row), true, Later);
       });
 }
--- a/src/coordination/group_row.cpp
+++ b/src/coordination/group_row.cpp
@@ -16,7 +16,7 @@
 using Json = nlohmann::json;
 
 /// Sessions remembered in a row after they left.
-constexpr std::size_t KeptExpelled = 32;
+constexpr std::size_t MaxExpelled = 32;
 
 Json entryToJson(const Member &Value) {
   return {{"session", Value.m_Session.value()},
@@ -137,7 +137,7 @@
     return Candidate.m_Member.m_Session == Session;
   });
   m_Expelled.push_back(Session);
-  if (m_Expelled.size() > KeptExpelled)
+  if (m_Expelled.size() > MaxExpelled)
     m_Expelled.erase(m_Expelled.begin());
 }
 
--- a/src/coordination/head_poller.cpp
+++ b/src/coordination/head_poller.cpp
@@ -9,12 +9,12 @@
 
 /// Rounds of reading before a poll counts as failed; the table may change
 /// between two rounds.
-constexpr int MostAttempts = 4;
+constexpr int MaxReadRounds = 4;
 
 } // namespace
 
-void HeadPoller::readAll(TimePoint Now, Done WhenDone) {
-  m_Waiting.push_back(std::move(WhenDone));
+void HeadPoller::readAll(TimePoint Now, Done OnDone) {
+  m_Callbacks.push_back(std::move(OnDone));
   m_Busy = true;
   TableRead Read;
   Read.m_Keys = {HeadRowKey, ConfigHeadRow};
@@ -28,15 +28,15 @@
       });
 }
 
-void HeadPoller::poll(TimePoint Now, std::vector<RowKey> Also, Done WhenDone) {
+void HeadPoller::poll(TimePoint Now, std::vector<RowKey> ExtraKeys, Done OnDone) {
   if (m_Busy) {
-    m_Queued.push_back({std::move(Also), std::move(WhenDone)});
+    m_Queued.push_back({std::move(ExtraKeys), std::move(OnDone)});
     return;
   }
-  m_Waiting.push_back(std::move(WhenDone));
+  m_Callbacks.push_back(std::move(OnDone));
   m_Busy = true;
   TableRead Read;
-  Read.m_Keys = std::move(Also);
+  Read.m_Keys = std::move(ExtraKeys);
   Read.m_Keys.push_back(HeadRowKey);
   m_Context->m_Table.read(
       std::move(Read), Now,
@@ -50,39 +50,39 @@
       });
 }
 
-void HeadPoller::readStale(TimePoint Sent, int Attempt, TimePoint Now) {
+void HeadPoller::readStale(TimePoint SentAt, int Round, TimePoint Now) {
   TableRead Read;
   Read.m_Keys = m_Context->m_View.staleRows();
-  if (Read.m_Keys.empty() || Attempt >= MostAttempts) {
-    finish(Read.m_Keys.empty(), Sent, Now);
+  if (Read.m_Keys.empty() || Round >= MaxReadRounds) {
+    finish(Read.m_Keys.empty(), SentAt, Now);
     return;
   }
   Read.m_Keys.push_back(HeadRowKey);
   // Deltas that were pruned meanwhile leave only the whole document.
-  if (Attempt > 1)
+  if (Round > 1)
     Read.m_Keys.push_back(ConfigHeadRow);
   m_Context->m_Table.read(
       std::move(Read), Now,
-      [this, Sent, Attempt](const std::vector<Row> *Rows, TimePoint Later) {
+      [this, SentAt, Round](const std::vector<Row> *Rows, TimePoint Later) {
         if (!Rows) {
-          finish(false, Sent, Later);
+          finish(false, SentAt, Later);
           return;
         }
         m_Context->merge(*Rows);
-        readStale(Sent, Attempt + 1, Later);
+        readStale(SentAt, Round + 1, Later);
       });
 }
 
-void HeadPoller::finish(bool Ok, TimePoint Sent, TimePoint Now) {
+void HeadPoller::finish(bool Ok, TimePoint SentAt, TimePoint Now) {
   m_Busy = false;
-  if (Ok && Sent > m_FreshAt)
-    m_FreshAt = Sent;
-  const std::vector<Done> Waiting = std::exchange(m_Waiting, {});
-  std::vector<Queued> Next = std::exchange(m_Queued, {});
-  for (Queued &Poll : Next)
-    poll(Now, std::move(Poll.m_Also), std::move(Poll.m_Done));
-  for (const Done &WhenDone : Waiting)
-    WhenDone(Ok, Now);
+  if (Ok && SentAt > m_UpToDateAt)
+    m_UpToDateAt = SentAt;
+  const std::vector<Done> Callbacks = std::exchange(m_Callbacks, {});
+  std::vector<QueuedPoll> Next = std::exchange(m_Queued, {});
+  for (QueuedPoll &Poll : Next)
+    poll(Now, std::move(Poll.m_ExtraKeys), std::move(Poll.m_Done));
+  for (const Done &OnDone : Callbacks)
+    OnDone(Ok, Now);
 }
 
 } // namespace balsamwheel
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -10,22 +10,22 @@
 
 constexpr Duration ReadRetryDelay = std::chrono::milliseconds(150);
 /// Spreads the heartbeats of a group a little.
-constexpr Duration BeatJitter = std::chrono::milliseconds(20);
+constexpr Duration HeartbeatJitter = std::chrono::milliseconds(20);
 constexpr Duration ExtensionLimit = std::chrono::hours(1);
 /// Other members that get a heartbeat before this session writes itself.
-constexpr std::size_t MostRelays = 2;
+constexpr std::size_t MaxRelays = 2;
 /// While witnesses extend the lease, own writes are tried once in so many
 /// heartbeats.
 constexpr std::uint64_t SelfWriteInterval = 8;
 /// A member that wrote while earlier ones in order failed goes first so long.
-constexpr Duration PreferenceTime = std::chrono::seconds(5);
+constexpr Duration WriterPreferenceTime = std::chrono::seconds(5);
 /// Heartbeats in a row that the first writer left unanswered before that.
-constexpr std::size_t FailoversToPrefer = 2;
+constexpr std::size_t FailoversBeforePreference = 2;
 /// Leaving the group is given up after this time.
 constexpr Duration LeaveTimeout = std::chrono::seconds(6);
-constexpr std::size_t MostGroupDoublings = 6;
+constexpr std::size_t MaxGroupDoublings = 6;
 
-Duration grantTime(const CoordinationTiming &Timing) {
+Duration grantDuration(const CoordinationTiming &Timing) {
   return Timing.m_Lease + Timing.m_LeaseMargin;
 }
 
@@ -35,12 +35,12 @@
     : m_Context(&Context), m_Poller(Context),
       m_Leader(
           Context, m_Poller,
-          [this](const PeerAddress &To, const HeartbeatAck &Ack,
+          [this](const PeerAddress &Receiver, const HeartbeatAck &Ack,
                  TimePoint Now) {
-            if (To == m_Context->m_Options.m_Peer)
-              onAck(Ack, To, Now);
+            if (Receiver == m_Context->m_Options.m_Peer)
+              onAck(Ack, Receiver, Now);
             else
-              m_Context->send(To, Ack);
+              m_Context->send(Receiver, Ack);
           },
           [this](SessionId Witness, const PromiseRequest &Request,
                  TimePoint Now) {
@@ -50,7 +50,7 @@
               m_Context->sendTo(Witness, Request);
           }),
       m_Lease(Context.m_Options.m_Timing.m_Lease, ExtensionLimit),
-      m_Witness(grantTime(Context.m_Options.m_Timing)) {
+      m_Witness(grantDuration(Context.m_Options.m_Timing)) {
   const CoordinatorOptions &Options = Context.m_Options;
   m_Self.m_Session = Context.m_Session;
   m_Self.m_Instance = Options.m_Instance;
@@ -82,7 +82,7 @@
   m_Group = chooseGroup();
   m_Leader.setGroup(m_Group);
   ++m_JoinRounds;
-  beat(Now);
+  startHeartbeat(Now);
 }
 
 std::uint32_t Membership::chooseGroup() const {
@@ -93,10 +93,10 @@
   for (const auto &[Number, Group] : Groups) {
     Next = std::max(Next, Number + 1);
     std::size_t SameDomain = 0;
-    for (const GroupMember &Value : Group.m_Members) {
-      if (Value.m_Member.m_Peer == m_Self.m_Peer && m_JoinRounds == 0)
+    for (const GroupMember &Each : Group.m_Members) {
+      if (Each.m_Member.m_Peer == m_Self.m_Peer && m_JoinRounds == 0)
         return Number;
-      SameDomain += Value.m_Member.m_Domain == m_Self.m_Domain ? 1 : 0;
+      SameDomain += Each.m_Member.m_Domain == m_Self.m_Domain ? 1 : 0;
     }
     const std::pair Score(SameDomain, Number);
     if (Group.m_Members.size() >= m_Context->m_Options.m_GroupSize ||
@@ -107,23 +107,23 @@
   }
   if (Best)
     return Best->m_Group;
-  const std::size_t Doublings = std::min(m_JoinRounds, MostGroupDoublings);
-  const auto Spread = static_cast<std::uint64_t>(1) << Doublings;
-  return Next + static_cast<std::uint32_t>(m_Context->m_Random() % Spread);
+  const std::size_t Doublings = std::min(m_JoinRounds, MaxGroupDoublings);
+  const auto CandidateCount = static_cast<std::uint64_t>(1) << Doublings;
+  return Next + static_cast<std::uint32_t>(m_Context->m_Random() % CandidateCount);
 }
 
-void Membership::restart(TimePoint Now) {
+void Membership::rejoinAsNewSession(TimePoint Now) {
   const bool WasJoined = m_State == State::Joined;
   m_Lease = LeaseHolder(m_Context->m_Options.m_Timing.m_Lease, ExtensionLimit);
-  m_Witness = Witness(grantTime(m_Context->m_Options.m_Timing));
+  m_Witness = Witness(grantDuration(m_Context->m_Options.m_Timing));
   m_Context->m_Session = m_Context->newSession();
   m_Self.m_Session = m_Context->m_Session;
   m_Entry = toEntry(m_Self);
   m_EntrySequence = 1;
   m_AckedRow = RowVersion();
-  m_HeadNamed = RowVersion();
-  m_Deferred.reset();
-  m_BeatAt = m_NextAttemptAt = m_ExtendAt = Never;
+  m_AckedHead = RowVersion();
+  m_DeferredAck.reset();
+  m_HeartbeatAt = m_NextAttemptAt = m_ExtendAt = Never;
   if (WasJoined)
     m_JoinRounds = 0;
   if (m_OnNewSession)
@@ -131,42 +131,42 @@
   readTable(Now);
 }
 
-void Membership::beat(TimePoint Now) {
+void Membership::startHeartbeat(TimePoint Now) {
   m_Lease.startRenewal(Now);
-  ++m_Beats;
-  m_LastBeat = Now;
-  m_BeatAt = Now + m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
+  ++m_HeartbeatCount;
+  m_LastHeartbeat = Now;
+  m_HeartbeatAt = Now + m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
   m_Attempt = 0;
   // While the table is out of reach, whoever reaches it first renews all.
   if (m_Lease.extended())
-    broadcastBeat();
-  sendBeat(Now);
+    broadcastHeartbeat();
+  sendToNextWriter(Now);
 }
 
-std::vector<SessionId> Membership::beatOrder(TimePoint Now) const {
+std::vector<SessionId> Membership::writerOrder(TimePoint Now) const {
   const SessionId Self = m_Context->m_Session;
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
   std::vector<SessionId> Result;
   if (Group) {
     Result = leaderOrder(*Group);
-    const auto Preferred = std::ranges::find(Result, m_Preferred);
-    if (Now < m_PreferUntil && Preferred != Result.end())
+    const auto Preferred = std::ranges::find(Result, m_PreferredWriter);
+    if (Now < m_PreferredUntil && Preferred != Result.end())
       std::rotate(Result.begin(), Preferred, std::next(Preferred));
   }
   const bool First = !Result.empty() && Result.front() == Self;
   std::erase(Result, Self);
-  if (Result.size() > MostRelays)
-    Result.resize(MostRelays);
+  if (Result.size() > MaxRelays)
+    Result.resize(MaxRelays);
   if (First)
     Result.insert(Result.begin(), Self);
-  const bool Spare =
-      m_Lease.extended() && !Result.empty() && m_Beats % SelfWriteInterval != 0;
-  if (!First && !Spare)
+  const bool SkipSelf =
+      m_Lease.extended() && !Result.empty() && m_HeartbeatCount % SelfWriteInterval != 0;
+  if (!First && !SkipSelf)
     Result.push_back(Self);
   return Result;
 }
 
-Heartbeat Membership::makeBeat() const {
+Heartbeat Membership::makeHeartbeat() const {
   Heartbeat Result;
   Result.m_Group = m_Group;
   Result.m_Session = m_Context->m_Session;
@@ -178,25 +178,25 @@
   return Result;
 }
 
-void Membership::broadcastBeat() {
+void Membership::broadcastHeartbeat() {
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
   if (!Group)
     return;
-  for (const GroupMember &Value : Group->m_Members)
-    m_Context->send(Value.m_Member.m_Peer, makeBeat());
+  for (const GroupMember &Each : Group->m_Members)
+    m_Context->send(Each.m_Member.m_Peer, makeHeartbeat());
 }
 
-void Membership::sendBeat(TimePoint Now) {
-  const std::vector<SessionId> Order = beatOrder(Now);
+void Membership::sendToNextWriter(TimePoint Now) {
+  const std::vector<SessionId> Order = writerOrder(Now);
   m_NextAttemptAt = Never;
   if (m_Attempt >= Order.size())
     return;
-  const SessionId To = Order[m_Attempt++];
-  const Heartbeat Message = makeBeat();
-  if (To == m_Context->m_Session)
+  const SessionId Receiver = Order[m_Attempt++];
+  const Heartbeat Message = makeHeartbeat();
+  if (Receiver == m_Context->m_Session)
     m_Leader.onHeartbeat(Message, m_Context->m_Options.m_Peer, Now);
   else
-    m_Context->sendTo(To, Message);
+    m_Context->sendTo(Receiver, Message);
   m_NextAttemptAt = Now + m_Context->m_Options.m_Timing.m_AckTimeout;
 }
 
@@ -209,7 +209,7 @@
 bool Membership::isUpToDate(RowVersion Head, TimePoint Now) const {
   // A held lease proves that nothing was taken from this session, so it may
   // lag by one acknowledgement.
-  const RowVersion Needed = m_Lease.holds(Now) ? m_HeadNamed : Head;
+  const RowVersion Needed = m_Lease.holds(Now) ? m_AckedHead : Head;
   return m_Context->m_View.completeHead() >= Needed;
 }
 
@@ -221,23 +221,23 @@
     return;
   if (Message.m_Expelled) {
     if (m_State == State::Joining || Message.m_GroupRow > m_AckedRow)
-      restart(Now);
+      rejoinAsNewSession(Now);
     return;
   }
   if (Message.m_SequenceCommitted > m_Lease.committed())
     applyAck(Message, From, Now);
   if (Message.m_NextBeatIn > Duration(0))
-    joinBeat(Now + Message.m_NextBeatIn);
+    alignHeartbeat(Now + Message.m_NextBeatIn);
   if (Message.m_SequenceCommitted >= m_Lease.sequence())
     m_NextAttemptAt = Never;
 }
 
-void Membership::joinBeat(TimePoint Common) {
+void Membership::alignHeartbeat(TimePoint GroupHeartbeatAt) {
   const Duration Period = m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
   // A beat right after the last one would renew nothing worth a message.
-  if (Common - m_LastBeat < Period * 2 / 5)
-    Common += Period;
-  m_BeatAt = Common + m_Context->jitter(BeatJitter);
+  if (GroupHeartbeatAt - m_LastHeartbeat < Period * 2 / 5)
+    GroupHeartbeatAt += Period;
+  m_HeartbeatAt = GroupHeartbeatAt + m_Context->jitter(HeartbeatJitter);
 }
 
 void Membership::applyAck(const HeartbeatAck &Message, const PeerAddress &From,
@@ -245,30 +245,30 @@
   m_State = State::Joined;
   m_AckedRow = std::max(m_AckedRow, Message.m_GroupRow);
   m_Failovers = m_Attempt > 1 ? m_Failovers + 1 : 0;
-  if (m_Failovers >= FailoversToPrefer)
-    prefer(From, Now);
+  if (m_Failovers >= FailoversBeforePreference)
+    preferWriter(From, Now);
   const bool Behind = m_Context->m_View.completeHead() < Message.m_Head;
-  const bool WasBehind = m_Context->m_View.completeHead() < m_HeadNamed;
+  const bool WasBehind = m_Context->m_View.completeHead() < m_AckedHead;
   if (isUpToDate(Message.m_Head, Now)) {
     m_Lease.onCommitted(Message.m_SequenceCommitted);
-    m_Deferred.reset();
+    m_DeferredAck.reset();
   } else {
-    m_Deferred = Message;
+    m_DeferredAck = Message;
   }
-  if (Behind && (WasBehind || m_Deferred))
+  if (Behind && (WasBehind || m_DeferredAck))
     m_Context->send(From, ChangesRequest{m_Context->m_View.completeHead()});
-  m_HeadNamed = std::max(m_HeadNamed, Message.m_Head);
+  m_AckedHead = std::max(m_AckedHead, Message.m_Head);
   scheduleExtension();
 }
 
-void Membership::prefer(const PeerAddress &Writer, TimePoint Now) {
+void Membership::preferWriter(const PeerAddress &Writer, TimePoint Now) {
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
   if (!Group)
     return;
-  for (const GroupMember &Value : Group->m_Members)
-    if (Value.m_Member.m_Peer == Writer)
-      m_Preferred = Value.m_Member.m_Session;
-  m_PreferUntil = Now + PreferenceTime;
+  for (const GroupMember &Each : Group->m_Members)
+    if (Each.m_Member.m_Peer == Writer)
+      m_PreferredWriter = Each.m_Member.m_Session;
+  m_PreferredUntil = Now + WriterPreferenceTime;
 }
 
 void Membership::onChangesRequest(const ChangesRequest &Message,
@@ -284,22 +284,22 @@
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
   if (Group && Group->m_Version > m_AckedRow &&
       !Group->find(m_Context->m_Session)) {
-    restart(Now);
+    rejoinAsNewSession(Now);
     return;
   }
-  noteWitnessed(Now);
-  if (m_Deferred && isUpToDate(m_Deferred->m_Head, Now)) {
-    m_Lease.onCommitted(m_Deferred->m_SequenceCommitted);
-    m_Deferred.reset();
+  updateWitnessedSessions(Now);
+  if (m_DeferredAck && isUpToDate(m_DeferredAck->m_Head, Now)) {
+    m_Lease.onCommitted(m_DeferredAck->m_SequenceCommitted);
+    m_DeferredAck.reset();
     scheduleExtension();
   }
 }
 
-void Membership::entryChanged(TimePoint Now) {
+void Membership::onEntryChanged(TimePoint Now) {
   m_Entry = toEntry(m_Self);
   m_EntrySequence = m_Lease.sequence() + 1;
   if (m_State == State::Joined || m_State == State::Joining)
-    beat(Now);
+    startHeartbeat(Now);
 }
 
 void Membership::setTarget(const ServiceName &Service, std::uint32_t Slots,
@@ -308,23 +308,23 @@
     return;
   m_Self.m_Service = Service;
   m_Self.m_Slots = Slots;
-  entryChanged(Now);
+  onEntryChanged(Now);
 }
 
 void Membership::setLeaving(bool Leaving, TimePoint Now) {
   if (m_Self.m_Leaving == Leaving)
     return;
   m_Self.m_Leaving = Leaving;
-  entryChanged(Now);
+  onEntryChanged(Now);
 }
 
 void Membership::leave(TimePoint Now) {
   if (m_State == State::Leaving || m_State == State::Left)
     return;
   const bool InRow = m_State == State::Joined || m_State == State::Joining;
-  m_Lease.drop();
+  m_Lease.release();
   m_State = InRow ? State::Leaving : State::Left;
-  m_BeatAt = m_NextAttemptAt = m_ExtendAt = Never;
+  m_HeartbeatAt = m_NextAttemptAt = m_ExtendAt = Never;
   m_RetryAt = Now + LeaveTimeout;
   if (InRow)
     m_Leader.removeSelf(Now, [this](bool) { m_State = State::Left; });
@@ -338,18 +338,18 @@
     else if (m_State == State::Leaving)
       m_State = State::Left;
   }
-  if (Now >= m_BeatAt)
-    beat(Now);
+  if (Now >= m_HeartbeatAt)
+    startHeartbeat(Now);
   if (Now >= m_NextAttemptAt)
-    sendBeat(Now);
+    sendToNextWriter(Now);
   if (Now >= m_ExtendAt)
-    askExtension(Now);
+    requestExtension(Now);
   m_Leader.onTick(Now);
 }
 
 TimePoint Membership::nextWake() const {
   return std::min(
-      {m_RetryAt, m_BeatAt, m_NextAttemptAt, m_ExtendAt, m_Leader.nextWake()});
+      {m_RetryAt, m_HeartbeatAt, m_NextAttemptAt, m_ExtendAt, m_Leader.nextWake()});
 }
 
 } // namespace balsamwheel
--- a/src/coordination/membership_extension.cpp
+++ b/src/coordination/membership_extension.cpp
@@ -8,24 +8,24 @@
 namespace {
 
 /// Extension is asked for when less than this share of the lease is left.
-constexpr double ExtensionShare = 0.45;
-constexpr Duration ExtensionRetry = std::chrono::milliseconds(250);
+constexpr double ExtensionThreshold = 0.45;
+constexpr Duration ExtensionRetryDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
 void Membership::scheduleExtension() {
   const CoordinationTiming &Timing = m_Context->m_Options.m_Timing;
   const auto Left =
-      std::chrono::duration_cast<Duration>(Timing.m_Lease * ExtensionShare);
+      std::chrono::duration_cast<Duration>(Timing.m_Lease * ExtensionThreshold);
   m_ExtendAt =
       m_Context->m_Options.m_UseWitnesses ? m_Lease.end() - Left : Never;
 }
 
-void Membership::askExtension(TimePoint Now) {
+void Membership::requestExtension(TimePoint Now) {
   scheduleExtension();
   if (m_State != State::Joined || m_ExtendAt > Now)
     return;
-  m_ExtendAt = Now + ExtensionRetry;
+  m_ExtendAt = Now + ExtensionRetryDelay;
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
   const GroupMember *Own = Group ? Group->find(m_Context->m_Session) : nullptr;
   if (!Own)
@@ -64,7 +64,7 @@
   Reply.m_Sequence = Message.m_Sequence;
   Reply.m_Granted =
       MayGrant &&
-      m_Witness.grant(Message.m_Session, Message.m_SequenceCommitted, Now);
+      m_Witness.tryGrant(Message.m_Session, Message.m_SequenceCommitted, Now);
   m_Context->send(Subject->m_Member.m_Peer, Reply);
 }
 
@@ -91,7 +91,7 @@
   Reply.m_GroupRow = Message.m_GroupRow;
   Reply.m_Promised =
       Message.m_Sequence != 0 &&
-      m_Witness.promise(Message.m_Subject, Message.m_Sequence, Now);
+      m_Witness.tryPromise(Message.m_Subject, Message.m_Sequence, Now);
   return Reply;
 }
 
@@ -104,13 +104,13 @@
   m_Leader.onPromiseReply(Message);
 }
 
-void Membership::noteWitnessed(TimePoint Now) {
+void Membership::updateWitnessedSessions(TimePoint Now) {
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
   if (!Group)
     return;
-  for (const GroupMember &Value : Group->m_Members)
-    if (std::ranges::count(Value.m_Witnesses, m_Context->m_Session))
-      m_Witness.onNamed(Value.m_Member.m_Session, Now);
+  for (const GroupMember &Each : Group->m_Members)
+    if (std::ranges::count(Each.m_Witnesses, m_Context->m_Session))
+      m_Witness.onAssigned(Each.m_Member.m_Session, Now);
   for (SessionId Gone : Group->m_Expelled)
     m_Witness.forget(Gone);
 }
--- a/src/coordination/table_client.cpp
+++ b/src/coordination/table_client.cpp
@@ -70,26 +70,26 @@
     Pending.m_Done(CommitResult::Unavailable, {}, Now);
     return;
   case TableStatus::Ambiguous:
-    settle(std::move(Pending), Now);
+    resolveAmbiguous(std::move(Pending), Now);
     return;
   }
 }
 
-void TableClient::settle(PendingCommit Pending, TimePoint Now) {
+void TableClient::resolveAmbiguous(PendingCommit Pending, TimePoint Now) {
   if (!enforced<Rule::WriteIdSettling>()) {
-    std::vector<Row> Guessed;
-    Guessed.reserve(Pending.m_Commit.m_Conditions.size());
+    std::vector<Row> AssumedVersions;
+    AssumedVersions.reserve(Pending.m_Commit.m_Conditions.size());
     for (const RowCondition &Condition : Pending.m_Commit.m_Conditions)
-      Guessed.push_back(
+      AssumedVersions.push_back(
           {Condition.m_Key, RowVersion(Condition.m_Version.value() + 1), ""});
     Pending.m_Done(CommitResult::Applied,
-                   writtenRows(Pending.m_Commit, Guessed), Now);
+                   writtenRows(Pending.m_Commit, AssumedVersions), Now);
     return;
   }
-  TableRead Again;
+  TableRead ReRead;
   for (const RowWrite &Write : Pending.m_Commit.m_Writes)
-    Again.m_Keys.push_back(Write.m_Key);
-  read(std::move(Again), Now,
+    ReRead.m_Keys.push_back(Write.m_Key);
+  read(std::move(ReRead), Now,
        [Pending = std::move(Pending)](const std::vector<Row> *Rows,
                                       TimePoint Later) {
          if (!Rows) {
@@ -108,15 +108,15 @@
 }
 
 void TableClient::expire(TimePoint Now) {
-  const auto IsLost = [Now](const auto &Item) {
+  const auto HasTimedOut = [Now](const auto &Item) {
     return Now - Item.second.m_Sent > ReplyTimeout;
   };
-  for (auto Lost = std::ranges::find_if(m_Reads, IsLost); Lost != m_Reads.end();
-       Lost = std::ranges::find_if(m_Reads, IsLost))
-    m_Reads.extract(Lost).mapped().m_Done(nullptr, Now);
-  for (auto Lost = std::ranges::find_if(m_Commits, IsLost);
-       Lost != m_Commits.end(); Lost = std::ranges::find_if(m_Commits, IsLost))
-    settle(std::move(m_Commits.extract(Lost).mapped()), Now);
+  for (auto TimedOut = std::ranges::find_if(m_Reads, HasTimedOut); TimedOut != m_Reads.end();
+       TimedOut = std::ranges::find_if(m_Reads, HasTimedOut))
+    m_Reads.extract(TimedOut).mapped().m_Done(nullptr, Now);
+  for (auto TimedOut = std::ranges::find_if(m_Commits, HasTimedOut);
+       TimedOut != m_Commits.end(); TimedOut = std::ranges::find_if(m_Commits, HasTimedOut))
+    resolveAmbiguous(std::move(m_Commits.extract(TimedOut).mapped()), Now);
 }
 
 } // namespace balsamwheel
--- a/src/coordination/witness.cpp
+++ b/src/coordination/witness.cpp
@@ -7,31 +7,31 @@
 
 namespace balsamwheel {
 
-void Witness::onNamed(SessionId Subject, TimePoint Now) {
+void Witness::onAssigned(SessionId Subject, TimePoint Now) {
   const auto [Found, New] = m_Records.try_emplace(Subject);
   if (New)
-    Found->second.m_GrantedUntil = Now + m_GrantTime;
+    Found->second.m_GrantedUntil = Now + m_GrantDuration;
 }
 
-bool Witness::grant(SessionId Subject, std::uint64_t Committed, TimePoint Now) {
+bool Witness::tryGrant(SessionId Subject, std::uint64_t Committed, TimePoint Now) {
   const auto Found = m_Records.find(Subject);
   if (Found == m_Records.end())
     return false;
-  Record &Kept = Found->second;
-  if (enforced<Rule::WitnessPromise>() && Kept.m_Promised >= Committed)
+  Record &Tracked = Found->second;
+  if (enforced<Rule::WitnessPromise>() && Tracked.m_PromisedSequence >= Committed)
     return false;
-  Kept.m_GrantedUntil = std::max(Kept.m_GrantedUntil, Now + m_GrantTime);
+  Tracked.m_GrantedUntil = std::max(Tracked.m_GrantedUntil, Now + m_GrantDuration);
   return true;
 }
 
-bool Witness::promise(SessionId Subject, std::uint64_t Sequence,
+bool Witness::tryPromise(SessionId Subject, std::uint64_t Sequence,
                       TimePoint Now) {
   const auto Found = m_Records.find(Subject);
   if (Found == m_Records.end())
     return false;
-  Record &Kept = Found->second;
-  Kept.m_Promised = std::max(Kept.m_Promised, Sequence);
-  return !enforced<Rule::WitnessPromise>() || Now >= Kept.m_GrantedUntil;
+  Record &Tracked = Found->second;
+  Tracked.m_PromisedSequence = std::max(Tracked.m_PromisedSequence, Sequence);
+  return !enforced<Rule::WitnessPromise>() || Now >= Tracked.m_GrantedUntil;
 }
 
 void Witness::forget(SessionId Subject) { m_Records.erase(Subject); }
--- a/tests/coordinator_cluster.h
+++ b/tests/coordinator_cluster.h
@@ -85,9 +85,9 @@
     bool m_Paused = false;
     bool m_Dead = false;
     /// Cannot reach the table.
-    bool m_NoTable = false;
+    bool m_TableUnreachable = false;
     /// Cannot reach other daemons.
-    bool m_NoPeers = false;
+    bool m_PeersUnreachable = false;
     std::vector<std::function<void()>> m_Inbox;
   };
 
@@ -143,7 +143,7 @@
   }
 
   /// Runs and counts how many shards are unserved, summed over milliseconds.
-  Duration unservedDuring(std::uint32_t Shards, Duration Time) {
+  Duration unservedShardTime(std::uint32_t Shards, Duration Time) {
     Duration Result{0};
     for (const TimePoint End = m_Now + Time; m_Now < End;) {
       run(milliseconds(10));
@@ -193,12 +193,12 @@
   Duration m_TableDelay = milliseconds(2);
   bool m_TableDown = false;
   /// Replies of this many commits are lost after they were applied.
-  std::size_t m_LoseAnswers = 0;
+  std::size_t m_RepliesToLose = 0;
   /// Most daemons that could serve one shard at the same time.
-  std::size_t m_MostOwners = 0;
+  std::size_t m_MaxOwners = 0;
   /// Shards checked in each step; 0 for none.
-  std::uint32_t m_CheckShards = 0;
-  std::function<void(std::size_t, const SendControl &)> m_Trace;
+  std::uint32_t m_CheckedShards = 0;
+  std::function<void(std::size_t, const SendControl &)> m_OnSend;
 
 private:
   void step() {
@@ -208,8 +208,8 @@
     }
     for (std::size_t Index = 0; Index < m_Daemons.size(); ++Index)
       drive(Index);
-    for (std::uint32_t Shard = 0; Shard < m_CheckShards; ++Shard)
-      m_MostOwners = std::max(m_MostOwners, permitted(KeyHash(Shard)).size());
+    for (std::uint32_t Shard = 0; Shard < m_CheckedShards; ++Shard)
+      m_MaxOwners = std::max(m_MaxOwners, permitted(KeyHash(Shard)).size());
   }
 
   void drive(std::size_t Index) {
@@ -235,16 +235,16 @@
   }
 
   void deliver(std::size_t From, SendControl Send) {
-    if (m_Trace)
-      m_Trace(From, Send);
-    for (std::size_t To = 0; To < m_Daemons.size(); ++To) {
-      if (m_Daemons[To].m_Peer != Send.m_To || m_Daemons[To].m_Dead)
+    if (m_OnSend)
+      m_OnSend(From, Send);
+    for (std::size_t Receiver = 0; Receiver < m_Daemons.size(); ++Receiver) {
+      if (m_Daemons[Receiver].m_Peer != Send.m_To || m_Daemons[Receiver].m_Dead)
         continue;
-      later(milliseconds(1), [this, From, To, Message = Send.m_Message] {
-        if (m_Daemons[From].m_NoPeers || m_Daemons[To].m_NoPeers)
+      later(milliseconds(1), [this, From, Receiver, Message = Send.m_Message] {
+        if (m_Daemons[From].m_PeersUnreachable || m_Daemons[Receiver].m_PeersUnreachable)
           return;
-        m_Daemons[To].m_Inbox.push_back([this, From, To, Message] {
-          at(To).onMessage(Message, m_Daemons[From].m_Peer, m_Now);
+        m_Daemons[Receiver].m_Inbox.push_back([this, From, Receiver, Message] {
+          at(Receiver).onMessage(Message, m_Daemons[From].m_Peer, m_Now);
         });
       });
     }
@@ -254,7 +254,7 @@
     const std::uint64_t Run = m_Daemons[Index].m_Run;
     later(m_TableDelay / 2, [this, Index, Read, Run] {
       TableReply Reply;
-      if (!m_TableDown && !m_Daemons[Index].m_NoTable)
+      if (!m_TableDown && !m_Daemons[Index].m_TableUnreachable)
         Reply = m_Table.read(Read.m_Read);
       reply(Index, Run, Read.m_Ticket, std::move(Reply));
     });
@@ -264,10 +264,10 @@
     const std::uint64_t Run = m_Daemons[Index].m_Run;
     later(m_TableDelay / 2, [this, Index, Commit, Run] {
       TableReply Reply;
-      if (!m_TableDown && !m_Daemons[Index].m_NoTable) {
+      if (!m_TableDown && !m_Daemons[Index].m_TableUnreachable) {
         Reply = m_Table.commit(Commit.m_Transaction);
-        if (m_LoseAnswers > 0) {
-          --m_LoseAnswers;
+        if (m_RepliesToLose > 0) {
+          --m_RepliesToLose;
           Reply = {TableStatus::Ambiguous, {}};
         }
       }
--- a/tests/fake_table.h
+++ b/tests/fake_table.h
@@ -48,7 +48,7 @@
       if (m_Down || m_CutOff[Client])
         respond({TableStatus::Unavailable, {}}, Reply);
       else if (m_Dice.chance(m_AmbiguousPercent))
-        commitWithoutAnswer(Commit, Reply);
+        commitWithoutReply(Commit, Reply);
       else
         respond(commitNow(Commit), Reply);
     });
@@ -90,15 +90,15 @@
   }
 
 private:
-  void respond(TableReply Reply, const Done &To) {
-    m_Queue.after(m_Delay, [Reply = std::move(Reply), To] { To(Reply); });
+  void respond(TableReply Reply, const Done &OnReply) {
+    m_Queue.after(m_Delay, [Reply = std::move(Reply), OnReply] { OnReply(Reply); });
   }
 
-  void commitWithoutAnswer(const Transaction &Commit, const Done &Reply) {
-    const std::uint64_t Kind = m_Dice.below(3);
-    if (Kind == 0)
+  void commitWithoutReply(const Transaction &Commit, const Done &Reply) {
+    const std::uint64_t Outcome = m_Dice.below(3);
+    if (Outcome == 0)
       commitNow(Commit);
-    if (Kind == 1)
+    if (Outcome == 1)
       m_Queue.after(m_Dice.between(milliseconds(5), seconds(4)),
                     [this, Commit] { commitNow(Commit); });
     m_Queue.after(m_Dice.between(milliseconds(50), milliseconds(600)),
--- a/tests/unit-coordinator.cpp
+++ b/tests/unit-coordinator.cpp
@@ -10,23 +10,23 @@
 
 constexpr std::uint32_t Shards = 24;
 
-void addSix(Cluster &Value) {
+void addSixDaemons(Cluster &TestCluster) {
   for (const char *Domain : {"a", "b", "c", "a", "b", "c"})
-    Value.add(Domain);
+    TestCluster.add(Domain);
 }
 
 } // namespace
 
 TEST_CASE("a cluster joins one group and serves every shard") {
-  Cluster Value(Shards);
-  Value.m_CheckShards = Shards;
-  addSix(Value);
-  Value.run(seconds(8));
+  Cluster TestCluster(Shards);
+  TestCluster.m_CheckedShards = Shards;
+  addSixDaemons(TestCluster);
+  TestCluster.run(seconds(8));
 
-  CHECK(Value.m_MostOwners == 1);
-  CHECK(Value.served(Shards) == Shards);
+  CHECK(TestCluster.m_MaxOwners == 1);
+  CHECK(TestCluster.served(Shards) == Shards);
   for (std::size_t Index = 0; Index < 6; ++Index) {
-    const CoordinatorStatus Status = Value.at(Index).status(Value.m_Now);
+    const CoordinatorStatus Status = TestCluster.at(Index).status(TestCluster.m_Now);
     CHECK(Status.m_LeaseHeld);
     CHECK(Status.m_Members == 6);
     CHECK(Status.m_ShardsOwned == Shards / 6);
--- a/tests/unit-group-writes.cpp
+++ b/tests/unit-group-writes.cpp
@@ -7,18 +7,18 @@
 using namespace balsamwheel::testing;
 
 TEST_CASE("a group's renewals share one write, also in a crowded group") {
-  Cluster Value(60);
+  Cluster TestCluster(60);
   for (int Index = 0; Index < 60; ++Index) {
-    Value.add(Index % 3 == 0 ? "a" : Index % 3 == 1 ? "b" : "c");
-    Value.run(milliseconds(10));
+    TestCluster.add(Index % 3 == 0 ? "a" : Index % 3 == 1 ? "b" : "c");
+    TestCluster.run(milliseconds(10));
   }
-  Value.run(seconds(10));
+  TestCluster.run(seconds(10));
   std::set<std::uint32_t> Groups;
   for (std::size_t Index = 0; Index < 60; ++Index)
-    Groups.insert(Value.at(Index).status(Value.m_Now).m_Group);
+    Groups.insert(TestCluster.at(Index).status(TestCluster.m_Now).m_Group);
 
-  const std::size_t Before = Value.m_Table.m_Writes;
-  Value.run(seconds(12));
+  const std::size_t Before = TestCluster.m_Table.m_Writes;
+  TestCluster.run(seconds(12));
   // The budget is 100 writes/s for 55 groups: 1.8 writes/s a group.
-  CHECK(Value.m_Table.m_Writes - Before <= Groups.size() * 12 * 100 / 55);
+  CHECK(TestCluster.m_Table.m_Writes - Before <= Groups.size() * 12 * 100 / 55);
 }
--- a/tests/unit-lease.cpp
+++ b/tests/unit-lease.cpp
@@ -25,10 +25,10 @@
   return Result;
 }
 
-ExpulsionJudge makeJudge(bool UseWitnesses) {
-  return ExpulsionJudge({.m_Wait = Wait,
-                         .m_ExtensionLimit = hours(1),
-                         .m_Suspect = milliseconds(850),
+ExpulsionTracker makeTracker(bool UseWitnesses) {
+  return ExpulsionTracker({.m_LeaseWait = Wait,
+                         .m_PromiseLimit = hours(1),
+                         .m_SuspectAfter = milliseconds(850),
                          .m_UseWitnesses = UseWitnesses});
 }
 
@@ -76,85 +76,85 @@
 
 TEST_CASE("a promise bars extension until a newer sequence is committed") {
   Witness Value(Wait);
-  Value.onNamed(SessionId(9), Start);
+  Value.onAssigned(SessionId(9), Start);
   const TimePoint Later = Start + Wait;
-  CHECK(Value.promise(SessionId(9), 4, Later));
-  CHECK_FALSE(Value.grant(SessionId(9), 4, Later));
-  CHECK(Value.grant(SessionId(9), 5, Later));
+  CHECK(Value.tryPromise(SessionId(9), 4, Later));
+  CHECK_FALSE(Value.tryGrant(SessionId(9), 4, Later));
+  CHECK(Value.tryGrant(SessionId(9), 5, Later));
 }
 
 TEST_CASE("a promise is given only when no grant is outstanding") {
   Witness Value(Wait);
-  Value.onNamed(SessionId(9), Start);
-  CHECK_FALSE(Value.promise(SessionId(9), 3, Start));
+  Value.onAssigned(SessionId(9), Start);
+  CHECK_FALSE(Value.tryPromise(SessionId(9), 3, Start));
   const TimePoint Granted = Start + milliseconds(100);
-  REQUIRE(Value.grant(SessionId(9), 4, Granted));
-  CHECK_FALSE(Value.promise(SessionId(9), 4, Granted + milliseconds(1979)));
-  CHECK_FALSE(Value.grant(SessionId(9), 4, Granted + milliseconds(1)));
-  CHECK(Value.promise(SessionId(9), 4, Granted + Wait));
+  REQUIRE(Value.tryGrant(SessionId(9), 4, Granted));
+  CHECK_FALSE(Value.tryPromise(SessionId(9), 4, Granted + milliseconds(1979)));
+  CHECK_FALSE(Value.tryGrant(SessionId(9), 4, Granted + milliseconds(1)));
+  CHECK(Value.tryPromise(SessionId(9), 4, Granted + Wait));
 }
 
 TEST_CASE("who is no witness of a session neither grants nor promises") {
   Witness Value(Wait);
-  CHECK_FALSE(Value.grant(SessionId(9), 1, Start));
-  CHECK_FALSE(Value.promise(SessionId(9), 1, Start + Wait));
+  CHECK_FALSE(Value.tryGrant(SessionId(9), 1, Start));
+  CHECK_FALSE(Value.tryPromise(SessionId(9), 1, Start + Wait));
 }
 
 TEST_CASE("a taker waits for the lease and for a quorum of promises") {
-  ExpulsionJudge Judge = makeJudge(true);
+  ExpulsionTracker Tracker = makeTracker(true);
   const GroupMember Subject = makeSubject(7);
-  Judge.observe(SessionId(9), 7, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  Judge.onPromise(SessionId(9), 6, SessionId(2));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  Judge.onPromise(SessionId(9), 7, SessionId(2));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait - milliseconds(1)));
-  CHECK(Judge.mayExpel(Subject, Start + Wait));
+  Tracker.observe(SessionId(9), 7, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
+  Tracker.onPromise(SessionId(9), 6, SessionId(2));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
+  Tracker.onPromise(SessionId(9), 7, SessionId(2));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait - milliseconds(1)));
+  CHECK(Tracker.mayExpel(Subject, Start + Wait));
 }
 
 TEST_CASE("a newer sequence starts the wait and the promises anew") {
-  ExpulsionJudge Judge = makeJudge(true);
-  Judge.observe(SessionId(9), 7, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
-  Judge.onPromise(SessionId(9), 7, SessionId(2));
-  Judge.observe(SessionId(9), 8, Start + milliseconds(600));
-  CHECK_FALSE(Judge.mayExpel(makeSubject(7), Start + Wait));
-  CHECK_FALSE(Judge.mayExpel(makeSubject(8), Start + Wait * 2));
+  ExpulsionTracker Tracker = makeTracker(true);
+  Tracker.observe(SessionId(9), 7, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
+  Tracker.onPromise(SessionId(9), 7, SessionId(2));
+  Tracker.observe(SessionId(9), 8, Start + milliseconds(600));
+  CHECK_FALSE(Tracker.mayExpel(makeSubject(7), Start + Wait));
+  CHECK_FALSE(Tracker.mayExpel(makeSubject(8), Start + Wait * 2));
 }
 
 TEST_CASE("a replaced witness counts once its grants have run out") {
-  ExpulsionJudge Judge = makeJudge(true);
+  ExpulsionTracker Tracker = makeTracker(true);
   const GroupMember Subject = makeSubject(7);
-  Judge.observe(Subject, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
+  Tracker.observe(Subject, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
   const TimePoint Replaced = Start + milliseconds(500);
-  Judge.noteReplaced(SessionId(2), Replaced);
-  Judge.noteReplaced(SessionId(2), Replaced + milliseconds(300));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  CHECK(Judge.mayExpel(Subject, Replaced + Wait));
+  Tracker.markReplaced(SessionId(2), Replaced);
+  Tracker.markReplaced(SessionId(2), Replaced + milliseconds(300));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
+  CHECK(Tracker.mayExpel(Subject, Replaced + Wait));
 }
 
 TEST_CASE("a vacant place counts once the former witness's grants ran out") {
-  ExpulsionJudge Judge = makeJudge(true);
+  ExpulsionTracker Tracker = makeTracker(true);
   GroupMember Subject = makeSubject(7);
-  Judge.observe(Subject, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
+  Tracker.observe(Subject, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
   Subject.m_Witnesses.pop_back();
   const TimePoint Left = Start + milliseconds(1900);
-  Judge.observe(Subject, Left);
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  CHECK(Judge.mayExpel(Subject, Left + Wait));
+  Tracker.observe(Subject, Left);
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
+  CHECK(Tracker.mayExpel(Subject, Left + Wait));
 }
 
 TEST_CASE("past the limit of extension no promise is needed") {
-  ExpulsionJudge Judge = makeJudge(true);
-  Judge.observe(makeSubject(7), Start);
-  CHECK(Judge.mayExpel(makeSubject(7), Start + hours(1)));
+  ExpulsionTracker Tracker = makeTracker(true);
+  Tracker.observe(makeSubject(7), Start);
+  CHECK(Tracker.mayExpel(makeSubject(7), Start + hours(1)));
 }
 
 TEST_CASE("without witnesses the lease wait alone decides") {
-  ExpulsionJudge Judge = makeJudge(false);
-  Judge.observe(SessionId(9), 7, Start);
-  CHECK(Judge.mayExpel(makeSubject(7), Start + Wait));
+  ExpulsionTracker Tracker = makeTracker(false);
+  Tracker.observe(SessionId(9), 7, Start);
+  CHECK(Tracker.mayExpel(makeSubject(7), Start + Wait));
 }
