--- a/include/balsamwheel/detail/coordination/config_tracker.h
+++ b/include/balsamwheel/detail/coordination/config_tracker.h
@@ -12,23 +12,24 @@
 
 namespace balsamwheel {
 
-/// Applies documents and deltas. Invariant: version() never falls.
+/// Applies documents and deltas. Invariant: version() never decreases.
 class ConfigTracker {
 public:
-  /// Applies a row with a document or a delta.
+  /// Applies a row that contains a document or a delta.
   ///
-  /// \param Head version of the head row that names this change.
-  /// \returns whether a newer version is in force.
+  /// \param Head version of the head row that announces this change.
+  /// \returns whether the row brought a newer version into force.
   bool merge(const Row &Stored, RowVersion Head);
 
   ConfigVersion version() const;
+  /// Null until the first document is applied.
   std::shared_ptr<const Config> config() const { return m_Config; }
 
   /// Rows that lead from the version known at \p Head to the newest: the
-  /// deltas if all are kept, else the whole document.
+  /// deltas if all of them are stored, else the complete document.
   std::vector<Row> rowsSince(RowVersion Head) const;
 
-  /// Rows to read from the table to get from here to \p Wanted.
+  /// Keys of the rows to read from the table to reach version \p Wanted.
   std::vector<RowKey> rowsToReach(ConfigVersion Wanted) const;
 
 private:
@@ -41,7 +42,8 @@
   bool mergeDelta(const Row &Stored, RowVersion Head);
 
   std::shared_ptr<const Config> m_Config;
-  /// Head at which the last whole document came in.
+  /// Head version before which a reader needs the complete document: that of the
+  /// last document or of the newest delta that is no longer stored.
   RowVersion m_DocumentHead;
   std::map<std::uint64_t, StoredDelta> m_Deltas;
 };
--- a/include/balsamwheel/detail/coordination/expulsion.h
+++ b/include/balsamwheel/detail/coordination/expulsion.h
@@ -1,4 +1,5 @@
-// The taker's side of leases: when a silent session may be expelled.
+// The expelling side of leases: decides when a session that stopped renewing may
+// be expelled.
 #pragma once
 
 #include "balsamwheel/detail/coordination/group_row.h"
@@ -10,33 +11,37 @@
 
 namespace balsamwheel {
 
-/// Watches the sequences of sessions. Invariant: mayExpel() is true only when
-/// the sequence in the row has been seen for a lease plus margin and a quorum
-/// of witnesses promised for it, with what a former witness granted run out.
+/// Tracks the renewal sequences of sessions. Invariant: mayExpel() is true only
+/// when the sequence in the row has not changed for the lease duration plus
+/// margin and, unless witnesses are not used or the limit on extensions has
+/// passed, a quorum of witnesses has promised or can no longer grant. A witness
+/// that was replaced or has left counts only after its grants have expired.
 class ExpulsionTracker {
 public:
   struct Options {
-    /// The lease plus the margin for clock drift.
+    /// Lease duration plus the margin for clock drift.
     Duration m_LeaseWait{0};
-    /// After this time no promise is needed.
+    /// A sequence unchanged for this long needs no promises.
     Duration m_PromiseLimit{0};
-    /// A sequence that stands longer is suspicious.
+    /// A sequence unchanged for this long makes its session suspect.
     Duration m_SuspectAfter{0};
     bool m_UseWitnesses = true;
   };
 
   explicit ExpulsionTracker(Options Values) : m_Options(Values) {}
 
-  /// Saw a member's part of the row.
+  /// Records sequence and witnesses of a member as they are in the row.
   void observe(const GroupMember &Subject, TimePoint Now);
-  /// Saw a sequence in a heartbeat.
+  /// Records a sequence from a heartbeat.
   void observe(SessionId Session, std::uint64_t Sequence, TimePoint Now);
+  /// Records a promise. Ignored unless it is for the newest known sequence.
   void onPromise(SessionId Subject, std::uint64_t Sequence, SessionId Witness);
   bool isSuspect(const GroupMember &Subject, TimePoint Now) const;
-  /// Whether the lease wait is over, promises aside.
+  /// Whether the lease has expired for certain, not counting extensions by
+  /// witnesses.
   bool isLeaseWaitOver(const GroupMember &Subject, TimePoint Now) const;
-  /// Another session listens at a witness's address: the witness can neither
-  /// be asked nor grant any more, but what it granted may still hold.
+  /// Records that a newer session uses a witness's address: the witness can no
+  /// longer answer or grant, but its earlier grants may still be in force.
   void markReplaced(SessionId Witness, TimePoint Now);
   bool mayExpel(const GroupMember &Subject, TimePoint Now) const;
   void forget(SessionId Session);
@@ -44,16 +49,19 @@
 private:
   struct Record {
     std::uint64_t m_Sequence = 0;
+    /// When the sequence was first seen.
     TimePoint m_UnchangedSince;
     std::set<SessionId> m_Promises;
   };
   struct WitnessSet {
     std::vector<SessionId> m_Witnesses;
-    /// Grants of a witness that left before may hold for a lease more.
+    /// When this set was first seen. Grants of a witness that left before may be
+    /// in force for another lease duration.
     TimePoint m_UnchangedSince;
   };
 
-  /// Witnesses that surely have no grant outstanding and make none.
+  /// Number of witnesses that certainly have no grant outstanding and will make
+  /// none; vacant places are included.
   std::size_t countNonGranting(const GroupMember &Subject, TimePoint Now) const;
   bool isReplacedAndExpired(SessionId Witness, TimePoint Now) const;
   bool isPastPromiseLimit(const GroupMember &Subject, TimePoint Now) const;
@@ -62,7 +70,7 @@
   Options m_Options;
   std::unordered_map<SessionId, Record> m_Records;
   std::unordered_map<SessionId, WitnessSet> m_WitnessSets;
-  /// When each replaced witness was noticed.
+  /// When the replacement of a witness was first seen.
   std::unordered_map<SessionId, TimePoint> m_Replaced;
 };
 
--- a/include/balsamwheel/detail/coordination/group_row.h
+++ b/include/balsamwheel/detail/coordination/group_row.h
@@ -1,4 +1,4 @@
-// A group's row: the sessions that renew their leases together.
+// A group's row in the table: the sessions whose leases are renewed together.
 #pragma once
 
 #include "balsamwheel/detail/coordination/coordinator.h"
@@ -13,15 +13,15 @@
 
 inline constexpr char GroupRowPrefix[] = "group/";
 
-/// Witnesses of a session. A missing one counts as one that grants nothing
-/// and has promised everything, so the set may be filled up at any time.
+/// Witnesses of a session. A vacant place counts as a witness that grants nothing
+/// and has given every promise, so it may be filled at any time.
 inline constexpr std::size_t WitnessCount = 3;
-/// Grants that extend a lease; any two quorums share a witness.
+/// Number of grants that extend a lease. Any two quorums share a witness.
 inline constexpr std::size_t WitnessQuorum = 2;
 
 struct GroupMember {
   Member m_Member;
-  /// The newest heartbeat that stands in the table.
+  /// Sequence of the newest committed heartbeat.
   std::uint64_t m_Sequence = 0;
   std::vector<SessionId> m_Witnesses;
 };
@@ -29,10 +29,11 @@
 struct GroupRow {
   std::uint32_t m_Group = 0;
   RowVersion m_Version;
-  /// Grows with each change but plain renewals.
+  /// Incremented with each change except plain renewals.
   std::uint64_t m_Counter = 0;
   std::vector<GroupMember> m_Members;
-  /// The last sessions that left; they are never admitted again.
+  /// Sessions that were removed most recently, the newest last; they are never
+  /// admitted again.
   std::vector<SessionId> m_Expelled;
 
   const GroupMember *find(SessionId Session) const;
@@ -42,24 +43,27 @@
 };
 
 RowKey groupRowKey(std::uint32_t Group);
-/// The group whose row has this key, if it is one.
+/// The number of the group whose row has this key, none for other keys.
 std::optional<std::uint32_t> groupOfKey(const RowKey &Key);
 
 std::string toValue(const GroupRow &Group, WriteId Id);
-/// Reads a group's row; an absent row has no members.
+/// Parses a group's row; an absent row has no members.
 ///
-/// \returns none when key or value have another shape.
+/// \returns none when the key or the value is malformed.
 std::optional<GroupRow> parseGroupRow(const Row &Stored);
 
-/// A member's own part of the row, as it rides on heartbeats.
+/// The part of the row that a member publishes about itself, as sent in
+/// heartbeats.
 std::string toEntry(const Member &Value);
+/// \returns none when the entry is malformed.
 std::optional<Member> parseEntry(const std::string &Entry);
 
-/// The members in the order in which they lead the group.
+/// The members in the order in which they lead the group and write its row.
 std::vector<SessionId> leaderOrder(const GroupRow &Group);
 
-/// Fills the witness sets of all members: one in each failure domain as far
-/// as there are, then any. Present witnesses stay.
+/// Completes the witness sets of all members: first with one witness per failure
+/// domain while there are further domains, then with any member. Witnesses that
+/// are still members are kept.
 void assignWitnesses(GroupRow &Group);
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/head_poller.h
+++ b/include/balsamwheel/detail/coordination/head_poller.h
@@ -1,4 +1,5 @@
-// Brings the view up to the table: reads the head row, then what changed.
+// Brings the view up to date with the table: reads the head row, then the rows
+// that changed.
 #pragma once
 
 #include "balsamwheel/detail/coordination/context.h"
@@ -10,18 +11,19 @@
 
 class HeadPoller {
 public:
+  /// \param Ok whether the view is up to date.
   using Done = std::function<void(bool Ok, TimePoint Now)>;
 
   explicit HeadPoller(CoordinationContext &Context) : m_Context(&Context) {}
 
-  /// Reads everything; for a daemon that knows nothing.
+  /// Reads all rows; for a daemon whose view is empty.
   void readAll(TimePoint Now, Done OnDone);
-  /// Reads the head row, \p Also and all that is older than the head says.
-  /// Waits for a poll that is under way to end first.
+  /// Reads the head row, \p ExtraKeys and every row whose known counter is below
+  /// the one in the head row. Queued while another poll is running.
   void poll(TimePoint Now, std::vector<RowKey> ExtraKeys, Done OnDone);
-  /// When the view was last known to be up to date.
+  /// The latest time at which the view is known to have been up to date.
   TimePoint upToDateAt() const { return m_UpToDateAt; }
-  /// A commit conditional on the head row was applied.
+  /// Records that a commit conditional on the head row was applied.
   void markUpToDate(TimePoint Now) { m_UpToDateAt = Now; }
   bool isBusy() const { return m_Busy; }
 
--- a/include/balsamwheel/detail/coordination/head_row.h
+++ b/include/balsamwheel/detail/coordination/head_row.h
@@ -1,4 +1,5 @@
-// The head row: one counter for each row whose changes everyone must learn.
+// The head row: one counter for each row whose changes every daemon must learn
+// of.
 #pragma once
 
 #include "balsamwheel/detail/platform/table.h"
@@ -13,7 +14,7 @@
 
 /// Value: {"rows": {row key: counter}, "write_id": W}. Every transaction that
 /// changes membership, the map or the configuration is conditional on this row
-/// and bumps it, so that all such changes have one order.
+/// and writes it, so that all such changes have one total order.
 inline const RowKey HeadRowKey{"head"};
 
 struct HeadRow {
@@ -24,20 +25,20 @@
   std::uint64_t counter(const RowKey &Key) const;
 };
 
-/// Reads the head row; an absent row has no counters.
+/// Parses the head row; an absent row has no counters.
 ///
-/// \returns none when the value has another shape.
+/// \returns none when the value is malformed.
 std::optional<HeadRow> parseHeadRow(const Row &Stored);
 
 /// Adds to a transaction the condition on the head row and its new value.
 ///
-/// \param Current the head row as read.
+/// \param Current the head row as last read.
 /// \param Counters the new counter of each row that the transaction writes.
 void appendHeadBump(
     Transaction &Commit, const HeadRow &Current,
     const std::vector<std::pair<RowKey, std::uint64_t>> &Counters);
 
-/// The id of the transaction that wrote a value, 0 if it holds none.
+/// The id of the transaction that wrote a value, 0 if it contains none.
 WriteId writeIdOf(const std::string &Value);
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/lease.h
+++ b/include/balsamwheel/detail/coordination/lease.h
@@ -1,4 +1,4 @@
-// The holder's side of a lease: how long this session may act.
+// The holder's side of a lease: until when this session may act.
 #pragma once
 
 #include "balsamwheel/detail/coordination/group_row.h"
@@ -10,45 +10,54 @@
 
 namespace balsamwheel {
 
-/// Counts the lease from before the renewal was sent. Invariant: end() never
-/// lies beyond the send time of a renewal plus the lease, for a renewal that
-/// stands in the table or that a quorum of witnesses granted.
+/// Tracks renewals and the end of the lease, which counts from before a renewal
+/// was sent. Invariant: end() is never later than the send time plus the lease
+/// duration of a renewal that is committed to the table or granted by a quorum
+/// of witnesses.
 class LeaseHolder {
 public:
   LeaseHolder(Duration Lease, Duration ExtensionLimit)
       : m_Lease(Lease), m_ExtensionLimit(ExtensionLimit) {}
 
-  /// Starts the next renewal; returns its sequence.
+  /// Starts the next renewal at its send time.
+  ///
+  /// \returns its sequence.
   std::uint64_t startRenewal(TimePoint Now);
-  /// A renewal stands in the table.
+  /// Records that a renewal is committed to the table.
   ///
-  /// \returns whether it is newer than those known before.
+  /// \returns whether it is newer than every committed renewal known before.
   bool onCommitted(std::uint64_t Sequence);
-  /// A witness granted a renewal.
+  /// Records that a witness granted a renewal. Ignored unless the session is
+  /// listed in \p Witnesses.
   void onGrant(std::uint64_t Sequence, SessionId Witness,
                const std::vector<SessionId> &Witnesses);
-  /// Ends the lease at once.
+  /// Ends the lease immediately.
   void release();
 
   bool holds(TimePoint Now) const;
   TimePoint end() const { return m_End; }
+  /// Whether the end was last set by witnesses, not by a commit.
   bool extended() const { return m_Extended; }
+  /// Sequence of the last renewal that was started.
   std::uint64_t sequence() const { return m_Sequence; }
+  /// Highest sequence known to be committed.
   std::uint64_t committed() const { return m_Committed; }
+  /// Send time of a recent renewal; the epoch if it is no longer tracked.
   TimePoint sentAt(std::uint64_t Sequence) const;
 
 private:
   void extendTo(TimePoint End, bool Extended);
 
   Duration m_Lease;
-  /// The longest time that witnesses may extend past the last commit.
+  /// Witnesses extend the lease at most this long past the send time of the
+  /// last committed renewal.
   Duration m_ExtensionLimit;
   TimePoint m_End;
   bool m_Extended = false;
   std::uint64_t m_Sequence = 0;
   std::uint64_t m_Committed = 0;
   TimePoint m_CommittedSendTime;
-  /// Send times of the last renewals.
+  /// Send times of the most recent renewals by sequence.
   std::map<std::uint64_t, TimePoint> m_SendTimes;
   std::map<std::uint64_t, std::set<SessionId>> m_Grants;
 };
--- a/include/balsamwheel/detail/coordination/membership.h
+++ b/include/balsamwheel/detail/coordination/membership.h
@@ -1,4 +1,5 @@
-// This session's place in a group: joining, heartbeats, the lease.
+// Membership of this session in a group: joining, heartbeats, lease renewal
+// and leaving.
 #pragma once
 
 #include "balsamwheel/detail/coordination/context.h"
@@ -13,6 +14,8 @@
 
 namespace balsamwheel {
 
+/// Joins a group, renews the session's lease through heartbeats, acts as a
+/// witness for other members and starts a new session after an expulsion.
 class Membership {
 public:
   explicit Membership(CoordinationContext &Context);
@@ -32,11 +35,12 @@
   void onChangesRequest(const ChangesRequest &Message, const PeerAddress &From);
   void onViewChanged(TimePoint Now);
 
-  /// What this session tells the others about itself.
+  /// Updates the service and slots that this session publishes in its entry.
   void setTarget(const ServiceName &Service, std::uint32_t Slots,
                  TimePoint Now);
+  /// Publishes whether this session takes no new work.
   void setLeaving(bool Leaving, TimePoint Now);
-  /// Gives up the lease and leaves the group.
+  /// Releases the lease and removes this session from its group's row.
   void leave(TimePoint Now);
   bool hasLeft() const { return m_State == State::Left; }
   bool isJoined() const { return m_State == State::Joined; }
@@ -46,7 +50,7 @@
   bool isLeader(TimePoint Now) const { return m_Leader.isLeader(Now); }
   HeadPoller &poller() { return m_Poller; }
 
-  /// Called when the session was expelled and another one begins.
+  /// Called after an expulsion, once the new session id is set.
   std::function<void()> m_OnNewSession;
 
 private:
@@ -67,13 +71,16 @@
   void sendToNextWriter(TimePoint Now);
   void broadcastHeartbeat();
   Heartbeat makeHeartbeat() const;
-  /// Who writes the row: members in turn, this session last.
+  /// The members to send a heartbeat to, in order, until one of them commits
+  /// it to the group's row. This session comes last unless it is first in the
+  /// order, and is left out of most heartbeats while witnesses extend its
+  /// lease.
   std::vector<SessionId> writerOrder(TimePoint Now) const;
   void requestExtension(TimePoint Now);
   void updateWitnessedSessions(TimePoint Now);
   void onEntryChanged(TimePoint Now);
   PromiseReply answerPromise(const PromiseRequest &Message, TimePoint Now);
-  /// Moves the next heartbeat to the common beat of the group.
+  /// Moves the next heartbeat to the time at which the whole group renews.
   void alignHeartbeat(TimePoint GroupHeartbeatAt);
   void applyAck(const HeartbeatAck &Message, const PeerAddress &From,
                 TimePoint Now);
@@ -89,28 +96,32 @@
   State m_State = State::Idle;
   std::uint32_t m_Group = 0;
   Member m_Self;
+  /// Serialised m_Self, as sent in heartbeats.
   std::string m_Entry;
-  /// The first heartbeat that carries the current entry.
+  /// Sequence of the first heartbeat that carries the current entry.
   std::uint64_t m_EntrySequence = 1;
+  /// Next read of the table while joining; end of the time-out while leaving.
   TimePoint m_RetryAt = Never;
   TimePoint m_HeartbeatAt = Never;
   TimePoint m_LastHeartbeat;
   std::uint64_t m_HeartbeatCount = 0;
-  /// When the current heartbeat goes to the next member.
+  /// When the current heartbeat is sent to the next writer.
   TimePoint m_NextAttemptAt = Never;
   TimePoint m_ExtendAt = Never;
+  /// Writers that the current heartbeat was sent to.
   std::size_t m_Attempt = 0;
   std::size_t m_JoinRounds = 0;
-  /// Heartbeats in a row that needed another writer.
+  /// Consecutive heartbeats that the first writer did not acknowledge in time.
   std::size_t m_Failovers = 0;
-  /// Goes first in the order of writers for a while.
+  /// Comes first in the writer order until m_PreferredUntil.
   SessionId m_PreferredWriter;
   TimePoint m_PreferredUntil;
-  /// Row version of the last acknowledged commit.
+  /// Highest version of the group's row in an acknowledgement.
   RowVersion m_AckedRow;
-  /// Head version that the previous acknowledgement named.
+  /// Highest head version in an acknowledgement so far.
   RowVersion m_AckedHead;
-  /// An acknowledgement that waits until the view is as new as it says.
+  /// An acknowledgement that is applied once the view has reached its head
+  /// version.
   std::optional<HeartbeatAck> m_DeferredAck;
 };
 
--- a/include/balsamwheel/detail/coordination/table_client.h
+++ b/include/balsamwheel/detail/coordination/table_client.h
@@ -1,5 +1,5 @@
-// Reads and commits with a continuation each; settles commits whose answer
-// was lost.
+// Asynchronous reads and commits of the table, each with a callback; finds out
+// whether a commit without a reply was applied.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -13,20 +13,22 @@
 
 namespace balsamwheel {
 
+/// Outcome of a commit as reported to the caller.
 enum class CommitResult : std::uint8_t {
   Applied,
-  /// Not applied, or not known to be: re-read before anything else.
+  /// Not applied, or not known to be: re-read the rows first.
   Refused,
-  /// The table is out of reach.
+  /// The table is unreachable.
   Unavailable,
 };
 
 class TableClient {
 public:
-  /// Called with none when the read failed.
+  /// \p Rows is null when the read failed.
   using ReadDone =
       std::function<void(const std::vector<Row> *Rows, TimePoint Now)>;
-  /// Called with the rows as written, their versions included.
+  /// \p Rows are the written rows with their new versions; empty unless the
+  /// commit was applied.
   using CommitDone = std::function<void(
       CommitResult Result, const std::vector<Row> &Rows, TimePoint Now)>;
 
@@ -35,7 +37,8 @@
   void read(TableRead Read, TimePoint Now, ReadDone Done);
   void commit(Transaction Commit, TimePoint Now, CommitDone Done);
   void onReply(TableTicket Ticket, const TableReply &Reply, TimePoint Now);
-  /// Gives up on requests that the table has not answered for long.
+  /// Fails reads, and resolves commits by a read, that got no reply within the
+  /// time-out.
   void expire(TimePoint Now);
 
 private:
@@ -51,6 +54,7 @@
 
   void finishCommit(PendingCommit Pending, const TableReply &Reply,
                     TimePoint Now);
+  /// Reads the written rows and looks for the write id of the transaction.
   void resolveAmbiguous(PendingCommit Pending, TimePoint Now);
 
   Effects *m_Effects;
--- a/include/balsamwheel/detail/platform/table.h
+++ b/include/balsamwheel/detail/platform/table.h
@@ -1,4 +1,5 @@
-// The platform's transactional table as the state machines see it.
+// Data types of the platform's transactional table, as used by the state
+// machines.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -12,11 +13,11 @@
 
 using RowKey = StrongId<struct RowKeyTag, std::string>;
 
-/// Grows with each write of a row; 0 means the row is absent.
+/// Increases with each write of a row; 0 means that the row is absent.
 using RowVersion = StrongId<struct RowVersionTag, std::uint64_t>;
 
-/// Chosen at random for each transaction. Stored inside the written rows, so
-/// that a commit whose answer was lost can be recognised on a re-read.
+/// Random id of a transaction. Stored in the rows that it writes, so that a commit
+/// whose reply was lost can be recognised when the rows are read again.
 using WriteId = StrongId<struct WriteIdTag, std::uint64_t>;
 
 struct Row {
@@ -27,6 +28,7 @@
   bool operator==(const Row &) const = default;
 };
 
+/// Holds while the row has this version; version 0 requires it to be absent.
 struct RowCondition {
   RowKey m_Key;
   RowVersion m_Version;
@@ -38,14 +40,14 @@
   std::optional<std::string> m_Value;
 };
 
-/// Applied whole when every condition holds, else not at all.
+/// Applied completely when every condition holds, otherwise not at all.
 struct Transaction {
   WriteId m_Id;
   std::vector<RowCondition> m_Conditions;
   std::vector<RowWrite> m_Writes;
 };
 
-/// Rows to read in one snapshot.
+/// Keys and key prefixes of the rows to read in one snapshot.
 struct TableRead {
   std::vector<RowKey> m_Keys;
   std::vector<std::string> m_Prefixes;
@@ -57,14 +59,15 @@
   Conflict,
   /// The request did not reach the table; nothing was written.
   Unavailable,
-  /// No answer came; the transaction may have been applied, or may yet be.
+  /// There was no reply; the transaction may have been applied or may be applied
+  /// later.
   Ambiguous,
 };
 
 struct TableReply {
   TableStatus m_Status = TableStatus::Unavailable;
-  /// A read's rows, the rows that a commit wrote (without values), or the
-  /// rows whose conditions failed. Absent rows have version 0.
+  /// For a read, the rows read; for a commit, the rows written (without values)
+  /// or the rows whose conditions failed. Absent rows have version 0.
   std::vector<Row> m_Rows;
 };
 
--- a/src/coordination/config_tracker.cpp
+++ b/src/coordination/config_tracker.cpp
@@ -1,4 +1,4 @@
-// The newest configuration, never an older one.
+// Applies configuration documents and deltas, never an older version.
 #include "balsamwheel/detail/coordination/config_tracker.h"
 
 #include "balsamwheel/detail/core/safety_rules.h"
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// More missing versions than this are fetched as one document.
+/// With more missing versions than this, the complete document is read instead of
+/// deltas.
 constexpr std::uint64_t MaxDeltasToFetch = 16;
 
 std::optional<std::uint64_t> deltaVersion(const RowKey &Key) {
--- a/src/coordination/context.cpp
+++ b/src/coordination/context.cpp
@@ -1,4 +1,4 @@
-// What the parts of one coordinator share.
+// Messages, changes of the view and random values for the parts of a coordinator.
 #include "balsamwheel/detail/coordination/context.h"
 
 #include "balsamwheel/detail/core/hash.h"
--- a/src/coordination/expulsion.cpp
+++ b/src/coordination/expulsion.cpp
@@ -1,4 +1,4 @@
-// When a silent session may be expelled.
+// Decides when a session that stopped renewing may be expelled.
 #include "balsamwheel/detail/coordination/expulsion.h"
 
 #include "balsamwheel/detail/core/safety_rules.h"
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -1,4 +1,4 @@
-// Writes a group's row.
+// Batches heartbeats into commits of the group's row and acknowledges them.
 #include "balsamwheel/detail/coordination/group_leader.h"
 
 #include <algorithm>
@@ -8,21 +8,24 @@
 
 namespace {
 
-/// Heartbeats that come within this time share a write.
+/// Heartbeats that arrive within this time share a write.
 constexpr Duration BatchDelay = std::chrono::milliseconds(60);
-/// Least time between two writes of the row; with the batch delay it stays
-/// below the time after which members turn to another writer.
+/// Minimum time between two writes of the row. Together with the batch delay it
+/// is shorter than the time-out after which members try another writer.
 constexpr Duration MinFlushInterval = std::chrono::milliseconds(120);
+/// Base of the back-off after a failure of the table, and bound of its jitter.
 constexpr Duration RetryDelay = std::chrono::milliseconds(200);
-/// So many members, first in order, write the row for others.
+/// Number of members, first in the leader order, that write the row for others.
 constexpr std::ptrdiff_t MaxWriters = 4;
+/// Bound of the random delay before a write is retried after a conflict.
 constexpr Duration ConflictJitter = std::chrono::milliseconds(40);
 constexpr Duration ExpulsionCheckPeriod = std::chrono::milliseconds(100);
-/// Witnesses extend a lease at most so long past its last commit.
+/// Witnesses extend a lease at most this long past its last commit.
 constexpr Duration ExtensionLimit = std::chrono::hours(1);
-/// Every so many polls of the head row the next group is looked at.
+/// Every n-th poll of the head row reads the row of the next group instead.
 constexpr std::uint32_t PollsPerWatch = 4;
-/// Members beyond the group size that concurrent joins may add.
+/// Members beyond the group size that are admitted, since several may join at
+/// the same time.
 constexpr std::size_t GroupOverflow = 4;
 
 ExpulsionTracker::Options expulsionOptions(const CoordinatorOptions &Options) {
@@ -70,12 +73,12 @@
     return;
   m_Expulsion.observe(Message.m_Session, Message.m_Sequence, Now);
   const auto [Found, New] = m_Pending.try_emplace(Message.m_Session);
-  PendingHeartbeat &Kept = Found->second;
-  if (New || Message.m_Sequence >= Kept.m_Heartbeat.m_Sequence) {
-    std::string Entry = std::move(Kept.m_Heartbeat.m_Entry);
-    Kept = {.m_Heartbeat = Message, .m_From = From};
+  PendingHeartbeat &Stored = Found->second;
+  if (New || Message.m_Sequence >= Stored.m_Heartbeat.m_Sequence) {
+    std::string Entry = std::move(Stored.m_Heartbeat.m_Entry);
+    Stored = {.m_Heartbeat = Message, .m_From = From};
     if (Message.m_Entry.empty())
-      Kept.m_Heartbeat.m_Entry = std::move(Entry);
+      Stored.m_Heartbeat.m_Entry = std::move(Entry);
   }
   if (m_FlushAt == Never && isWriterFor(Message.m_Session))
     m_FlushAt = std::max(Now + BatchDelay, m_LastFlush + MinFlushInterval);
@@ -85,8 +88,8 @@
   if (Session == m_Context->m_Session)
     return true;
   const std::vector<SessionId> Order = leaderOrder(currentRow(m_Group));
-  const auto Own = std::ranges::find(Order, m_Context->m_Session);
-  return std::distance(Order.begin(), Own) < MaxWriters;
+  const auto Self = std::ranges::find(Order, m_Context->m_Session);
+  return std::distance(Order.begin(), Self) < MaxWriters;
 }
 
 bool GroupLeader::isFirstWriter() const {
@@ -113,7 +116,8 @@
   }
   const bool Fresh =
       Now - m_Poller->upToDateAt() <= m_Context->m_Options.m_Timing.m_Lease / 2;
-  // Others look first whether the one in front has written meanwhile.
+  // The first writer commits without a read. Others read the row first: a writer
+  // before them may have committed the heartbeats in the meantime.
   if (Fresh && isFirstWriter()) {
     flushWithFreshView(Now);
     return;
@@ -145,12 +149,12 @@
 
 bool GroupLeader::applyHeartbeats(GroupRow &Row) {
   bool Structural = false;
-  for (auto Next = m_Pending.begin(); Next != m_Pending.end();) {
-    const PendingHeartbeat &Value = Next->second;
-    const SessionId Session = Value.m_Heartbeat.m_Session;
+  for (auto It = m_Pending.begin(); It != m_Pending.end();) {
+    const PendingHeartbeat &Waiting = It->second;
+    const SessionId Session = Waiting.m_Heartbeat.m_Session;
     const bool Known = Row.find(Session) != nullptr;
     const bool Admissible =
-        !Value.m_Heartbeat.m_Entry.empty() && !Row.wasExpelled(Session) &&
+        !Waiting.m_Heartbeat.m_Entry.empty() && !Row.wasExpelled(Session) &&
         Row.m_Members.size() < m_Context->m_Options.m_GroupSize + GroupOverflow;
     if (!Known && !Admissible) {
       HeartbeatAck Refusal;
@@ -158,18 +162,18 @@
       Refusal.m_Session = Session;
       Refusal.m_GroupRow = Row.m_Version;
       Refusal.m_Expelled = true;
-      m_Refusals.push_back({Value.m_From, Refusal});
-      Next = m_Pending.erase(Next);
+      m_Refusals.push_back({Waiting.m_From, Refusal});
+      It = m_Pending.erase(It);
       continue;
     }
-    Structural = applyHeartbeat(Row, Value) || Structural;
-    ++Next;
+    Structural = applyHeartbeat(Row, Waiting) || Structural;
+    ++It;
   }
   return Structural;
 }
 
-bool GroupLeader::applyHeartbeat(GroupRow &Row, const PendingHeartbeat &Value) {
-  const Heartbeat &Message = Value.m_Heartbeat;
+bool GroupLeader::applyHeartbeat(GroupRow &Row, const PendingHeartbeat &Waiting) {
+  const Heartbeat &Message = Waiting.m_Heartbeat;
   std::optional<Member> Entry;
   if (!Message.m_Entry.empty())
     Entry = parseEntry(Message.m_Entry);
@@ -240,8 +244,8 @@
   }
   m_LeadershipRenewedAt = Now;
   observe(currentRow(m_Group), Now);
-  // Only now is the row known to be the newest: a promise that is asked for a
-  // live member would bar its extension.
+  // Promises are requested only here, where the row is known to be the newest: a
+  // promise for a live member would block the extension of its lease.
   requestPromises(currentRow(m_Group), Now);
   acknowledgeAll(Now);
   if (!m_Pending.empty())
@@ -252,17 +256,17 @@
   }
 }
 
-void GroupLeader::acknowledge(const GroupRow &Row, const GroupMember &Value,
+void GroupLeader::acknowledge(const GroupRow &Row, const GroupMember &Subject,
                               TimePoint Now) {
   HeartbeatAck Ack;
   Ack.m_Group = m_Group;
-  Ack.m_Session = Value.m_Member.m_Session;
-  Ack.m_SequenceCommitted = Value.m_Sequence;
+  Ack.m_Session = Subject.m_Member.m_Session;
+  Ack.m_SequenceCommitted = Subject.m_Sequence;
   Ack.m_GroupRow = Row.m_Version;
   Ack.m_Head = m_Context->m_View.completeHead();
   if (isFirstWriter())
     Ack.m_NextBeatIn = nextHeartbeatIn(Now);
-  m_SendAck(Value.m_Member.m_Peer, Ack, Now);
+  m_SendAck(Subject.m_Member.m_Peer, Ack, Now);
 }
 
 Duration GroupLeader::nextHeartbeatIn(TimePoint Now) const {
@@ -279,8 +283,8 @@
     m_SendAck(Receiver, Refusal, Now);
   const GroupRow Row = currentRow(m_Group);
   if (isHeadRecent(Now))
-    for (const GroupMember &Value : Row.m_Members)
-      acknowledge(Row, Value, Now);
+    for (const GroupMember &Each : Row.m_Members)
+      acknowledge(Row, Each, Now);
   std::erase_if(m_Pending, [&Row](const auto &Item) {
     const GroupMember *Known = Row.find(Item.first);
     return Known && Known->m_Sequence >= Item.second.m_Heartbeat.m_Sequence;
@@ -289,15 +293,15 @@
 
 void GroupLeader::acknowledgeCommitted(TimePoint Now) {
   const GroupRow Row = currentRow(m_Group);
-  for (auto Next = m_Pending.begin(); Next != m_Pending.end();) {
-    const GroupMember *Known = Row.find(Next->first);
-    if (!Known || Known->m_Sequence < Next->second.m_Heartbeat.m_Sequence) {
-      ++Next;
+  for (auto It = m_Pending.begin(); It != m_Pending.end();) {
+    const GroupMember *Known = Row.find(It->first);
+    if (!Known || Known->m_Sequence < It->second.m_Heartbeat.m_Sequence) {
+      ++It;
       continue;
     }
     if (isHeadRecent(Now))
       acknowledge(Row, *Known, Now);
-    Next = m_Pending.erase(Next);
+    It = m_Pending.erase(It);
   }
 }
 
@@ -315,8 +319,8 @@
   Changes Message;
   Message.m_Head = m_Context->m_View.completeHead();
   Message.m_Rows = m_Context->m_View.rowsSince(m_PushedHead);
-  for (const GroupMember &Value : currentRow(m_Group).m_Members)
-    m_Context->send(Value.m_Member.m_Peer, Message);
+  for (const GroupMember &Each : currentRow(m_Group).m_Members)
+    m_Context->send(Each.m_Member.m_Peer, Message);
 }
 
 void GroupLeader::pollHead(TimePoint Now) {
--- a/src/coordination/group_leader_expulsion.cpp
+++ b/src/coordination/group_leader_expulsion.cpp
@@ -1,4 +1,4 @@
-// Expulsion of silent members, of this group and of the next one.
+// Expulsion of members that stopped renewing, in this group and the next one.
 #include "balsamwheel/detail/coordination/group_leader.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace balsamwheel {
 
 void GroupLeader::markReplacedSessions(const GroupRow &Row, TimePoint Now) {
-  // Members stand in the order in which they joined.
+  // Members are listed in the order in which they joined.
   std::map<PeerAddress, SessionId> Newest;
   for (const GroupMember &Each : Row.m_Members)
     Newest[Each.m_Member.m_Peer] = Each.m_Member.m_Session;
--- a/src/coordination/group_row.cpp
+++ b/src/coordination/group_row.cpp
@@ -1,4 +1,4 @@
-// A group's row: JSON form, order of leaders, choice of witnesses.
+// A group's row: JSON encoding, leader order and choice of witnesses.
 #include "balsamwheel/detail/coordination/group_row.h"
 
 #include "balsamwheel/detail/core/hash.h"
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-/// Sessions remembered in a row after they left.
+/// Number of removed sessions that are kept in a row.
 constexpr std::size_t MaxExpelled = 32;
 
 Json entryToJson(const Member &Value) {
@@ -77,7 +77,7 @@
   return Result;
 }
 
-/// The members but the subject, in the subject's order of preference.
+/// All members except the subject, in the subject's order of preference.
 std::vector<const GroupMember *> witnessOrder(const GroupRow &Group,
                                               const GroupMember &Subject) {
   std::vector<const GroupMember *> Result;
@@ -160,8 +160,8 @@
 
 std::string toValue(const GroupRow &Group, WriteId Id) {
   Json Members = Json::array();
-  for (const GroupMember &Value : Group.m_Members)
-    Members.push_back(memberToJson(Value));
+  for (const GroupMember &Each : Group.m_Members)
+    Members.push_back(memberToJson(Each));
   return Json{{"write_id", Id.value()},
               {"counter", Group.m_Counter},
               {"members", std::move(Members)},
@@ -204,8 +204,8 @@
 std::vector<SessionId> leaderOrder(const GroupRow &Group) {
   std::vector<SessionId> Result;
   Result.reserve(Group.m_Members.size());
-  for (const GroupMember &Value : Group.m_Members)
-    Result.push_back(Value.m_Member.m_Session);
+  for (const GroupMember &Each : Group.m_Members)
+    Result.push_back(Each.m_Member.m_Session);
   const std::uint64_t Seed = Group.m_Group + 1;
   std::ranges::sort(Result, std::greater<>(), [Seed](SessionId Session) {
     return mixHash(Seed, Session.value());
--- a/src/coordination/head_poller.cpp
+++ b/src/coordination/head_poller.cpp
@@ -1,4 +1,4 @@
-// Reads the head row, then the rows that are older than it says.
+// Reads the head row, then the rows that are older than its counters.
 #include "balsamwheel/detail/coordination/head_poller.h"
 
 #include <utility>
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Rounds of reading before a poll counts as failed; the table may change
-/// between two rounds.
+/// A poll fails if the view is not up to date after this many reads; the table may
+/// change between two of them.
 constexpr int MaxReadRounds = 4;
 
 } // namespace
@@ -58,7 +58,7 @@
     return;
   }
   Read.m_Keys.push_back(HeadRowKey);
-  // Deltas that were pruned meanwhile leave only the whole document.
+  // If deltas were pruned in the meantime, only the complete document is left.
   if (Round > 1)
     Read.m_Keys.push_back(ConfigHeadRow);
   m_Context->m_Table.read(
--- a/src/coordination/head_row.cpp
+++ b/src/coordination/head_row.cpp
@@ -1,4 +1,4 @@
-// The head row's JSON form.
+// JSON encoding of the head row.
 #include "balsamwheel/detail/coordination/head_row.h"
 
 #include <nlohmann/json.hpp>
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -1,4 +1,4 @@
-// The holder's side of a lease.
+// Computes the end of a lease from commits and witness grants.
 #include "balsamwheel/detail/coordination/lease.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Renewals whose send time is remembered.
+/// Number of renewals whose send time is kept.
 constexpr std::size_t MaxTrackedRenewals = 32;
 
 } // namespace
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -1,4 +1,4 @@
-// This session's place in a group.
+// Joining a group, heartbeats and their acknowledgements, leaving.
 #include "balsamwheel/detail/coordination/membership.h"
 
 #include <algorithm>
@@ -9,20 +9,27 @@
 namespace {
 
 constexpr Duration ReadRetryDelay = std::chrono::milliseconds(150);
-/// Spreads the heartbeats of a group a little.
+/// Upper bound of the random delay that keeps the heartbeats of a group from
+/// being sent at the same instant.
 constexpr Duration HeartbeatJitter = std::chrono::milliseconds(20);
+/// Witnesses extend a lease at most this long past its last commit.
 constexpr Duration ExtensionLimit = std::chrono::hours(1);
-/// Other members that get a heartbeat before this session writes itself.
+/// Other members that are sent a heartbeat before this session writes the row
+/// itself.
 constexpr std::size_t MaxRelays = 2;
-/// While witnesses extend the lease, own writes are tried once in so many
-/// heartbeats.
+/// While witnesses extend the lease, this session tries to write the row itself
+/// only in every n-th heartbeat.
 constexpr std::uint64_t SelfWriteInterval = 8;
-/// A member that wrote while earlier ones in order failed goes first so long.
+/// How long a member comes first in the writer order after it committed
+/// heartbeats that the writers before it did not acknowledge.
 constexpr Duration WriterPreferenceTime = std::chrono::seconds(5);
-/// Heartbeats in a row that the first writer left unanswered before that.
+/// Consecutive heartbeats without an acknowledgement from the first writer
+/// before another writer is preferred.
 constexpr std::size_t FailoversBeforePreference = 2;
-/// Leaving the group is given up after this time.
+/// Time-out for removing this session from its group's row.
 constexpr Duration LeaveTimeout = std::chrono::seconds(6);
+/// Cap on doubling, with each further attempt to join, the range from which the number of
+/// a new group is drawn.
 constexpr std::size_t MaxGroupDoublings = 6;
 
 Duration grantDuration(const CoordinationTiming &Timing) {
@@ -137,7 +144,8 @@
   m_LastHeartbeat = Now;
   m_HeartbeatAt = Now + m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
   m_Attempt = 0;
-  // While the table is out of reach, whoever reaches it first renews all.
+  // While the table is unreachable, every member is sent the heartbeat, so that
+  // the first one that reaches the table renews the whole group.
   if (m_Lease.extended())
     broadcastHeartbeat();
   sendToNextWriter(Now);
@@ -207,16 +215,16 @@
 }
 
 bool Membership::isUpToDate(RowVersion Head, TimePoint Now) const {
-  // A held lease proves that nothing was taken from this session, so it may
-  // lag by one acknowledgement.
+  // While the lease is held, no shard can have been taken from this session, so
+  // its view may lag behind by one acknowledgement.
   const RowVersion Needed = m_Lease.holds(Now) ? m_AckedHead : Head;
   return m_Context->m_View.completeHead() >= Needed;
 }
 
 void Membership::onAck(const HeartbeatAck &Message, const PeerAddress &From,
                        TimePoint Now) {
-  const bool Member = m_State == State::Joining || m_State == State::Joined;
-  if (!Member || Message.m_Group != m_Group ||
+  const bool IsMember = m_State == State::Joining || m_State == State::Joined;
+  if (!IsMember || Message.m_Group != m_Group ||
       Message.m_Session != m_Context->m_Session)
     return;
   if (Message.m_Expelled) {
@@ -234,7 +242,8 @@
 
 void Membership::alignHeartbeat(TimePoint GroupHeartbeatAt) {
   const Duration Period = m_Context->m_Options.m_Timing.m_HeartbeatPeriod;
-  // A beat right after the last one would renew nothing worth a message.
+  // A heartbeat right after the previous one would hardly prolong the lease:
+  // skip to the next period.
   if (GroupHeartbeatAt - m_LastHeartbeat < Period * 2 / 5)
     GroupHeartbeatAt += Period;
   m_HeartbeatAt = GroupHeartbeatAt + m_Context->jitter(HeartbeatJitter);
--- a/src/coordination/membership_extension.cpp
+++ b/src/coordination/membership_extension.cpp
@@ -1,4 +1,5 @@
-// Extension of leases by witnesses, from the side of holder and witness.
+// Lease extension by witnesses while the table is unreachable: the holder's and
+// the witness's side.
 #include "balsamwheel/detail/coordination/membership.h"
 
 #include <algorithm>
@@ -7,7 +8,8 @@
 
 namespace {
 
-/// Extension is asked for when less than this share of the lease is left.
+/// Fraction of the lease duration: witnesses are asked for an extension when
+/// less than this is left.
 constexpr double ExtensionThreshold = 0.45;
 constexpr Duration ExtensionRetryDelay = std::chrono::milliseconds(250);
 
@@ -27,8 +29,8 @@
     return;
   m_ExtendAt = Now + ExtensionRetryDelay;
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
-  const GroupMember *Own = Group ? Group->find(m_Context->m_Session) : nullptr;
-  if (!Own)
+  const GroupMember *Self = Group ? Group->find(m_Context->m_Session) : nullptr;
+  if (!Self)
     return;
   m_Lease.startRenewal(Now);
   ExtendRequest Request;
@@ -39,7 +41,7 @@
   Request.m_GroupRow = m_AckedRow;
   Request.m_ConfigApplied = m_Context->m_View.configVersion();
   Request.m_MapSeen = m_Context->m_View.completeHead().value();
-  for (SessionId Witness : Own->m_Witnesses)
+  for (SessionId Witness : Self->m_Witnesses)
     m_Context->sendTo(Witness, Request);
 }
 
@@ -73,10 +75,10 @@
       Message.m_Session != m_Context->m_Session)
     return;
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
-  const GroupMember *Own = Group ? Group->find(m_Context->m_Session) : nullptr;
-  if (!Own)
+  const GroupMember *Self = Group ? Group->find(m_Context->m_Session) : nullptr;
+  if (!Self)
     return;
-  m_Lease.onGrant(Message.m_Sequence, Message.m_Witness, Own->m_Witnesses);
+  m_Lease.onGrant(Message.m_Sequence, Message.m_Witness, Self->m_Witnesses);
   if (m_Lease.holds(Now))
     scheduleExtension();
 }
--- a/src/coordination/table_client.cpp
+++ b/src/coordination/table_client.cpp
@@ -1,4 +1,4 @@
-// Tickets, and the settling of commits whose answer was lost.
+// Matches replies with requests and resolves commits whose reply was lost.
 #include "balsamwheel/detail/coordination/table_client.h"
 
 #include "balsamwheel/detail/coordination/head_row.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A request without any reply for so long has none.
+/// A request without a reply for this long is treated as lost.
 constexpr Duration ReplyTimeout = std::chrono::seconds(5);
 
 const Row *findRow(const std::vector<Row> &Rows, const RowKey &Key) {
@@ -19,7 +19,7 @@
   return Found == Rows.end() ? nullptr : &*Found;
 }
 
-/// The rows that a commit wrote, with the versions that the table gave them.
+/// The rows that a commit wrote, with the versions that the table assigned.
 std::vector<Row> writtenRows(const Transaction &Commit,
                              const std::vector<Row> &Versions) {
   std::vector<Row> Result;
--- a/src/coordination/witness.cpp
+++ b/src/coordination/witness.cpp
@@ -1,4 +1,4 @@
-// Grants and promises of a witness.
+// Decides on extensions and promises of a witness.
 #include "balsamwheel/detail/coordination/witness.h"
 
 #include "balsamwheel/detail/core/safety_rules.h"
--- a/tests/coordinator_cluster.h
+++ b/tests/coordinator_cluster.h
@@ -1,5 +1,5 @@
-// Several coordinators over an in-memory table and a delayed message queue,
-// driven by a simulated clock.
+// Several coordinators with an in-memory table and delayed messages, driven by
+// a simulated clock.
 #pragma once
 
 #include "balsamwheel/coordination.h"
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Rows with versions, and conditional transactions over them.
+/// Versioned rows with conditional transactions.
 class MemoryTable {
 public:
   TableReply read(const TableRead &Read) const {
@@ -58,6 +58,7 @@
   std::size_t m_Writes = 0;
 };
 
+/// A configuration with one service that is divided by key into shards.
 inline Config makeKeyedConfig(std::uint64_t Version, std::uint32_t Shards) {
   Config Result;
   Result.m_Version = ConfigVersion(Version);
@@ -80,13 +81,13 @@
     std::unique_ptr<Coordinator> m_Coordinator;
     PeerAddress m_Peer;
     DomainName m_Domain;
-    /// Replies to an earlier run are dropped.
+    /// Number of the current run; replies to an earlier one are dropped.
     std::uint64_t m_Run = 0;
     bool m_Paused = false;
     bool m_Dead = false;
-    /// Cannot reach the table.
+    /// This daemon can't reach the table.
     bool m_TableUnreachable = false;
-    /// Cannot reach other daemons.
+    /// This daemon can't exchange messages with others.
     bool m_PeersUnreachable = false;
     std::vector<std::function<void()>> m_Inbox;
   };
@@ -115,7 +116,7 @@
     return Index;
   }
 
-  /// Starts a new run of a daemon in the slot of an earlier one.
+  /// Replaces a daemon by a new run at the same address.
   void restart(std::size_t Index, CoordinatorOptions Options = {}) {
     Daemon &Value = m_Daemons[Index];
     Options.m_Instance = InstanceName("i" + std::to_string(Index));
@@ -132,9 +133,9 @@
     collect(Index);
   }
 
-  /// Runs until every shard is served.
+  /// Runs until every shard is served or \p Limit has passed.
   ///
-  /// \returns how long that took, at most \p Limit.
+  /// \returns the simulated time that this took.
   Duration runUntilServed(std::uint32_t Shards, Duration Limit) {
     const TimePoint Begin = m_Now;
     while (m_Now - Begin < Limit && served(Shards) < Shards)
@@ -142,7 +143,9 @@
     return m_Now - Begin;
   }
 
-  /// Runs and counts how many shards are unserved, summed over milliseconds.
+  /// Runs for \p Time.
+  ///
+  /// \returns the time without service, summed over all shards.
   Duration unservedShardTime(std::uint32_t Shards, Duration Time) {
     Duration Result{0};
     for (const TimePoint End = m_Now + Time; m_Now < End;) {
@@ -162,7 +165,7 @@
 
   Coordinator &at(std::size_t Index) { return *m_Daemons[Index].m_Coordinator; }
 
-  /// Sessions that may send an order for a key now.
+  /// Indexes of the running daemons that may send an order for a key now.
   std::vector<std::size_t> permitted(KeyHash Key) const {
     std::vector<std::size_t> Result;
     for (std::size_t Index = 0; Index < m_Daemons.size(); ++Index) {
@@ -177,7 +180,7 @@
     return Result;
   }
 
-  /// Shards that some daemon may serve now.
+  /// Number of shards that at least one daemon may serve now.
   std::size_t served(std::uint32_t Shards) const {
     std::size_t Result = 0;
     for (std::uint32_t Shard = 0; Shard < Shards; ++Shard)
@@ -192,12 +195,14 @@
   std::uint64_t m_Starts = 0;
   Duration m_TableDelay = milliseconds(2);
   bool m_TableDown = false;
-  /// Replies of this many commits are lost after they were applied.
+  /// Number of commits, counted from now, that are applied but whose reply is
+  /// lost.
   std::size_t m_RepliesToLose = 0;
-  /// Most daemons that could serve one shard at the same time.
+  /// Highest number of daemons that could serve one shard at the same time.
   std::size_t m_MaxOwners = 0;
-  /// Shards checked in each step; 0 for none.
+  /// Number of shards checked for several owners in each step; 0 for none.
   std::uint32_t m_CheckedShards = 0;
+  /// Called with the index of the sender for each message sent.
   std::function<void(std::size_t, const SendControl &)> m_OnSend;
 
 private:
@@ -234,17 +239,17 @@
     }
   }
 
-  void deliver(std::size_t From, SendControl Send) {
+  void deliver(std::size_t Sender, SendControl Send) {
     if (m_OnSend)
-      m_OnSend(From, Send);
+      m_OnSend(Sender, Send);
     for (std::size_t Receiver = 0; Receiver < m_Daemons.size(); ++Receiver) {
       if (m_Daemons[Receiver].m_Peer != Send.m_To || m_Daemons[Receiver].m_Dead)
         continue;
-      later(milliseconds(1), [this, From, Receiver, Message = Send.m_Message] {
-        if (m_Daemons[From].m_PeersUnreachable || m_Daemons[Receiver].m_PeersUnreachable)
+      later(milliseconds(1), [this, Sender, Receiver, Message = Send.m_Message] {
+        if (m_Daemons[Sender].m_PeersUnreachable || m_Daemons[Receiver].m_PeersUnreachable)
           return;
-        m_Daemons[Receiver].m_Inbox.push_back([this, From, Receiver, Message] {
-          at(Receiver).onMessage(Message, m_Daemons[From].m_Peer, m_Now);
+        m_Daemons[Receiver].m_Inbox.push_back([this, Sender, Receiver, Message] {
+          at(Receiver).onMessage(Message, m_Daemons[Sender].m_Peer, m_Now);
         });
       });
     }
--- a/tests/fake_table.h
+++ b/tests/fake_table.h
@@ -1,4 +1,4 @@
-// The platform's table in memory, with its faults.
+// In-memory table of the platform with injected faults.
 #pragma once
 
 #include "fake_events.h"
@@ -16,13 +16,13 @@
   FakeTable(EventQueue &Queue, std::uint64_t Seed)
       : m_Queue(Queue), m_Dice(Seed) {}
 
-  // Faults; all clients unless said otherwise.
+  // Injected faults. They apply to all clients unless stated otherwise.
   bool m_Down = false;
   Duration m_Delay = milliseconds(1);
-  /// Percent of commits that get no answer. A part of them is applied before,
-  /// a part later, the rest never.
+  /// Percentage of commits without a reply. One third of them is applied before
+  /// the client is told, one third later and the rest never.
   unsigned m_AmbiguousPercent = 0;
-  /// Clients that cannot reach the table.
+  /// By client: whether it can't reach the table.
   std::vector<bool> m_CutOff = std::vector<bool>(16);
   /// Called after each applied transaction.
   std::function<void(const Transaction &)> m_OnCommit;
@@ -107,7 +107,7 @@
 
   EventQueue &m_Queue;
   Dice m_Dice;
-  /// A deleted row keeps its version and an empty value.
+  /// A deleted row keeps its version and has an empty value.
   std::map<std::string, Row> m_Rows;
 };
 
--- a/tests/unit-coordinator-faults.cpp
+++ b/tests/unit-coordinator-faults.cpp
@@ -1,4 +1,5 @@
-// One owner at most, and service again, under faults of daemons and table.
+// Faults of daemons and table: at most one owner per shard, and recovery of the
+// service within the limit.
 #include "coordinator_cluster.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +11,7 @@
 
 constexpr std::uint32_t Shards = 24;
 
-/// Six daemons in three domains that serve everything.
+/// A cluster without daemons that checks each step for shards with two owners.
 Cluster makeCluster(std::uint64_t Seed = 1) {
   Cluster Result(Shards);
   Result.m_Seed = Seed;
@@ -18,6 +19,7 @@
   return Result;
 }
 
+/// Adds six daemons in three domains and waits until every shard is served.
 void startSixDaemons(Cluster &TestCluster) {
   for (const char *Domain : {"a", "b", "c", "a", "b", "c"})
     TestCluster.add(Domain);
@@ -32,7 +34,7 @@
   return 0;
 }
 
-/// The target for loss, in simulated time: served again within 4 s.
+/// After a loss, all shards must be served again within this simulated time.
 constexpr Duration RecoveryLimit = seconds(4);
 
 } // namespace
@@ -48,7 +50,7 @@
   }
 }
 
-TEST_CASE("a paused leader and its returned self never share a shard") {
+TEST_CASE("a paused leader that resumes never owns a shard together with its successor") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   const std::size_t Faulty = leaderOf(TestCluster);
@@ -63,7 +65,7 @@
   CHECK(TestCluster.at(Faulty).status(TestCluster.m_Now).m_ShardsOwned > 0);
 }
 
-TEST_CASE("a table outage with all daemons healthy costs nothing") {
+TEST_CASE("a table outage with all daemons healthy leaves every shard served") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   TestCluster.m_TableDown = true;
@@ -75,7 +77,7 @@
     CHECK_FALSE(TestCluster.at(Index).status(TestCluster.m_Now).m_LeaseExtended);
 }
 
-TEST_CASE("a slow table costs nothing") {
+TEST_CASE("a slow table leaves every shard served") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   TestCluster.m_TableDelay = seconds(2);
@@ -85,7 +87,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("a daemon lost in a table outage costs only its own shards") {
+TEST_CASE("a daemon lost in a table outage leaves only its own shards unserved") {
   for (std::size_t Faulty = 0; Faulty < 6; ++Faulty) {
     Cluster TestCluster = makeCluster(Faulty + 1);
     startSixDaemons(TestCluster);
@@ -103,7 +105,7 @@
   }
 }
 
-TEST_CASE("a daemon cut off from everything loses its shards") {
+TEST_CASE("a daemon without table and peers loses its shards and rejoins") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   TestCluster.m_Daemons[2].m_PeersUnreachable = TestCluster.m_Daemons[2].m_TableUnreachable = true;
@@ -116,7 +118,7 @@
   CHECK(TestCluster.at(2).status(TestCluster.m_Now).m_ShardsOwned > 0);
 }
 
-TEST_CASE("a leader cut off from the table is relayed by others") {
+TEST_CASE("a leader that cannot reach the table is renewed by other members") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   TestCluster.m_Daemons[leaderOf(TestCluster)].m_TableUnreachable = true;
@@ -124,7 +126,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("a daemon without peers renews in the table itself") {
+TEST_CASE("a daemon that cannot reach its peers renews in the table itself") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   TestCluster.m_Daemons[1].m_PeersUnreachable = true;
@@ -132,7 +134,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("commits whose answers are lost are settled") {
+TEST_CASE("commits whose replies are lost are resolved by a read") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   TestCluster.m_RepliesToLose = 20;
@@ -143,7 +145,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("a domain taken out is empty after the grace, and returns") {
+TEST_CASE("a domain taken out is empty after the grace period and can return") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   Config Next = makeKeyedConfig(2, Shards);
@@ -160,7 +162,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("a shutdown hands every shard over and leaves") {
+TEST_CASE("a daemon that shuts down hands over every shard and leaves its group") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   TestCluster.at(4).beginShutdown(TestCluster.m_Now);
@@ -171,7 +173,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("all daemons killed and started again serve again") {
+TEST_CASE("after a restart of all daemons every shard is served again") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   for (std::size_t Index = 0; Index < 6; ++Index)
@@ -181,7 +183,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("all daemons frozen for long come back without a second owner") {
+TEST_CASE("all daemons paused past their leases resume without a second owner") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   for (auto &Daemon : TestCluster.m_Daemons)
@@ -195,7 +197,7 @@
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
-TEST_CASE("nothing moves in steady state") {
+TEST_CASE("in steady state the head row does not change") {
   Cluster TestCluster = makeCluster();
   startSixDaemons(TestCluster);
   const Row Before = TestCluster.m_Table.get(HeadRowKey);
--- a/tests/unit-coordinator.cpp
+++ b/tests/unit-coordinator.cpp
@@ -1,4 +1,4 @@
-// Coordinators of a small cluster: joining, taking shards, losing members.
+// Coordinators of a small cluster join a group and take over all shards.
 #include "coordinator_cluster.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("a cluster joins one group and serves every shard") {
+TEST_CASE("the daemons of a small cluster join one group and serve every shard") {
   Cluster TestCluster(Shards);
   TestCluster.m_CheckedShards = Shards;
   addSixDaemons(TestCluster);
--- a/tests/unit-group-writes.cpp
+++ b/tests/unit-group-writes.cpp
@@ -1,4 +1,4 @@
-// The table's load: one write for a group in each heartbeat period.
+// Write load on the table: the heartbeats of a group share their writes.
 #include "coordinator_cluster.h"
 
 #include <doctest/doctest.h>
@@ -6,7 +6,7 @@
 using namespace balsamwheel;
 using namespace balsamwheel::testing;
 
-TEST_CASE("a group's renewals share one write, also in a crowded group") {
+TEST_CASE("the renewals of a group share writes, also in a full group") {
   Cluster TestCluster(60);
   for (int Index = 0; Index < 60; ++Index) {
     TestCluster.add(Index % 3 == 0 ? "a" : Index % 3 == 1 ? "b" : "c");
@@ -19,6 +19,6 @@
 
   const std::size_t Before = TestCluster.m_Table.m_Writes;
   TestCluster.run(seconds(12));
-  // The budget is 100 writes/s for 55 groups: 1.8 writes/s a group.
+  // The write budget is 100 writes/s for 55 groups, or 1.8 writes/s per group.
   CHECK(TestCluster.m_Table.m_Writes - Before <= Groups.size() * 12 * 100 / 55);
 }
--- a/tests/unit-lease.cpp
+++ b/tests/unit-lease.cpp
@@ -1,4 +1,4 @@
-// Leases from both sides: holder, witness and taker.
+// Leases as seen by the holder, its witnesses and a member that expels it.
 #include "balsamwheel/detail/coordination/expulsion.h"
 #include "balsamwheel/detail/coordination/lease.h"
 #include "balsamwheel/detail/coordination/witness.h"
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a lease counts from before the renewal was sent") {
+TEST_CASE("a lease counts from the send time of its renewal") {
   LeaseHolder Holder(Lease, hours(1));
   const std::uint64_t First = Holder.startRenewal(Start);
   CHECK_FALSE(Holder.holds(Start));
@@ -45,14 +45,14 @@
   CHECK_FALSE(Holder.onCommitted(First));
 }
 
-TEST_CASE("a renewal that was never started counts for nothing") {
+TEST_CASE("a commit of a renewal that was never started is ignored") {
   LeaseHolder Holder(Lease, hours(1));
   Holder.startRenewal(Start);
   CHECK_FALSE(Holder.onCommitted(2));
   CHECK_FALSE(Holder.holds(Start));
 }
 
-TEST_CASE("only a quorum of named witnesses extends a lease") {
+TEST_CASE("only a quorum of listed witnesses extends a lease") {
   LeaseHolder Holder(Lease, hours(1));
   Holder.onCommitted(Holder.startRenewal(Start));
   const std::uint64_t Next = Holder.startRenewal(Start + milliseconds(600));
@@ -65,7 +65,7 @@
   CHECK(Holder.extended());
 }
 
-TEST_CASE("extension ends with its limit after the last commit") {
+TEST_CASE("extensions end at the limit after the last commit") {
   LeaseHolder Holder(Lease, milliseconds(2000));
   Holder.onCommitted(Holder.startRenewal(Start));
   const std::uint64_t Next = Holder.startRenewal(Start + milliseconds(900));
@@ -74,7 +74,7 @@
   CHECK(Holder.end() == Start + milliseconds(2000));
 }
 
-TEST_CASE("a promise bars extension until a newer sequence is committed") {
+TEST_CASE("a promise blocks extensions until a newer sequence is committed") {
   Witness Value(Wait);
   Value.onAssigned(SessionId(9), Start);
   const TimePoint Later = Start + Wait;
@@ -94,13 +94,13 @@
   CHECK(Value.tryPromise(SessionId(9), 4, Granted + Wait));
 }
 
-TEST_CASE("who is no witness of a session neither grants nor promises") {
+TEST_CASE("a session that is not a listed witness neither grants nor promises") {
   Witness Value(Wait);
   CHECK_FALSE(Value.tryGrant(SessionId(9), 1, Start));
   CHECK_FALSE(Value.tryPromise(SessionId(9), 1, Start + Wait));
 }
 
-TEST_CASE("a taker waits for the lease and for a quorum of promises") {
+TEST_CASE("an expulsion needs the lease wait and a quorum of promises") {
   ExpulsionTracker Tracker = makeTracker(true);
   const GroupMember Subject = makeSubject(7);
   Tracker.observe(SessionId(9), 7, Start);
@@ -113,7 +113,7 @@
   CHECK(Tracker.mayExpel(Subject, Start + Wait));
 }
 
-TEST_CASE("a newer sequence starts the wait and the promises anew") {
+TEST_CASE("a newer sequence restarts the wait and discards promises") {
   ExpulsionTracker Tracker = makeTracker(true);
   Tracker.observe(SessionId(9), 7, Start);
   Tracker.onPromise(SessionId(9), 7, SessionId(1));
@@ -123,7 +123,7 @@
   CHECK_FALSE(Tracker.mayExpel(makeSubject(8), Start + Wait * 2));
 }
 
-TEST_CASE("a replaced witness counts once its grants have run out") {
+TEST_CASE("a replaced witness counts once its grants have expired") {
   ExpulsionTracker Tracker = makeTracker(true);
   const GroupMember Subject = makeSubject(7);
   Tracker.observe(Subject, Start);
@@ -135,7 +135,7 @@
   CHECK(Tracker.mayExpel(Subject, Replaced + Wait));
 }
 
-TEST_CASE("a vacant place counts once the former witness's grants ran out") {
+TEST_CASE("a vacant witness place counts once the former witness's grants expired") {
   ExpulsionTracker Tracker = makeTracker(true);
   GroupMember Subject = makeSubject(7);
   Tracker.observe(Subject, Start);
@@ -147,7 +147,7 @@
   CHECK(Tracker.mayExpel(Subject, Left + Wait));
 }
 
-TEST_CASE("past the limit of extension no promise is needed") {
+TEST_CASE("past the limit on extensions no promise is needed") {
   ExpulsionTracker Tracker = makeTracker(true);
   Tracker.observe(makeSubject(7), Start);
   CHECK(Tracker.mayExpel(makeSubject(7), Start + hours(1)));
--- a/tests/unit-rows.cpp
+++ b/tests/unit-rows.cpp
@@ -1,4 +1,4 @@
-// Rows of the table: codecs, the view that merges them, settled commits.
+// Rows of the table: encoding, merging into the view, commits without a reply.
 #include "balsamwheel/detail/coordination/cluster_view.h"
 #include "balsamwheel/detail/coordination/table_client.h"
 
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("a map row survives its value") {
+TEST_CASE("a map row is unchanged after encoding and parsing") {
   CHECK(rc::check("map row", [] {
     const auto Part = *rc::gen::inRange<std::uint32_t>(0, 9);
     const auto Count = *rc::gen::inRange<std::uint32_t>(1, 300);
@@ -59,7 +59,7 @@
   }));
 }
 
-TEST_CASE("a damaged row is refused") {
+TEST_CASE("a malformed row is rejected") {
   CHECK(rc::check("rows", [] {
     const std::string Text = *rc::gen::arbitrary<std::string>();
     RC_ASSERT(!parseMapRow({RowKey("map/s/0"), RowVersion(1), Text}));
@@ -68,7 +68,7 @@
   }));
 }
 
-TEST_CASE("a group row survives its value") {
+TEST_CASE("a group row is unchanged after encoding and parsing") {
   GroupRow Value = makeGroup(5);
   Value.m_Members[2].m_Sequence = 77;
   Value.m_Members[2].m_Member.m_Service = ServiceName("orders");
@@ -82,7 +82,7 @@
   CHECK(Result->find(SessionId(3))->m_Sequence == 77);
 }
 
-TEST_CASE("witnesses are others, stay while present, and spread") {
+TEST_CASE("witnesses are other members, are kept, and cover all domains") {
   CHECK(rc::check("witnesses", [] {
     GroupRow Value = makeGroup(*rc::gen::inRange<std::size_t>(1, 17));
     assignWitnesses(Value);
@@ -109,7 +109,7 @@
   }));
 }
 
-TEST_CASE("the configuration never falls, in whatever order rows come") {
+TEST_CASE("the configuration version never decreases, whatever the order of rows") {
   CHECK(rc::check("monotone", [] {
     ConfigTracker Value;
     std::uint64_t Highest = 0;
@@ -141,7 +141,7 @@
   CHECK_FALSE(View.isGone(SessionId(1)));
 }
 
-TEST_CASE("a commit without an answer is settled by its write id") {
+TEST_CASE("a commit without a reply is resolved by its write id") {
   for (const bool Applied : {true, false}) {
     Effects Out;
     TableClient Client(Out);
