--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -22,7 +22,7 @@
 constexpr Duration ExpulsionCheckPeriod = std::chrono::milliseconds(100);
 /// Witnesses extend a lease at most this long past its last commit.
 constexpr Duration ExtensionLimit = std::chrono::hours(1);
-/// Every n-th poll of the head row reads the row of the next group instead.
+/// Every n-th poll of the head row also reads the row of the next group.
 constexpr std::uint32_t PollsPerWatch = 4;
 /// Members beyond the group size that are admitted, since several may join at
 /// the same time.
@@ -116,8 +116,8 @@
   }
   const bool Fresh =
       Now - m_Poller->upToDateAt() <= m_Context->m_Options.m_Timing.m_Lease / 2;
-  // The first writer commits without a read. Others read the row first: a writer
-  // before them may have committed the heartbeats in the meantime.
+  // The first writer commits without a read if its view is recent. Others always
+  // read the row: a writer before them may have committed the heartbeats already.
   if (Fresh && isFirstWriter()) {
     flushWithFreshView(Now);
     return;
@@ -244,7 +244,7 @@
   }
   m_LeadershipRenewedAt = Now;
   observe(currentRow(m_Group), Now);
-  // Promises are requested only here, where the row is known to be the newest: a
+  // Promises are requested only now that the row is known to be the newest: a
   // promise for a live member would block the extension of its lease.
   requestPromises(currentRow(m_Group), Now);
   acknowledgeAll(Now);
--- a/src/coordination/head_poller.cpp
+++ b/src/coordination/head_poller.cpp
@@ -78,8 +78,8 @@
   if (Ok && SentAt > m_UpToDateAt)
     m_UpToDateAt = SentAt;
   const std::vector<Done> Callbacks = std::exchange(m_Callbacks, {});
-  std::vector<QueuedPoll> Next = std::exchange(m_Queued, {});
-  for (QueuedPoll &Poll : Next)
+  std::vector<QueuedPoll> QueuedPolls = std::exchange(m_Queued, {});
+  for (QueuedPoll &Poll : QueuedPolls)
     poll(Now, std::move(Poll.m_ExtraKeys), std::move(Poll.m_Done));
   for (const Done &OnDone : Callbacks)
     OnDone(Ok, Now);
--- a/src/coordination/membership_extension.cpp
+++ b/src/coordination/membership_extension.cpp
@@ -56,10 +56,10 @@
     m_Context->send(Subject->m_Member.m_Peer,
                     Changes{m_Context->m_View.completeHead(),
                             m_Context->m_View.rowsSince(Seen)});
-  const bool Named =
+  const bool IsListed =
       std::ranges::count(Subject->m_Witnesses, m_Context->m_Session) > 0;
   const bool MayGrant =
-      m_State == State::Joined && m_Lease.holds(Now) && Named && !Behind;
+      m_State == State::Joined && m_Lease.holds(Now) && IsListed && !Behind;
   ExtendReply Reply;
   Reply.m_Session = Message.m_Session;
   Reply.m_Witness = m_Context->m_Session;
@@ -113,8 +113,8 @@
   for (const GroupMember &Each : Group->m_Members)
     if (std::ranges::count(Each.m_Witnesses, m_Context->m_Session))
       m_Witness.onAssigned(Each.m_Member.m_Session, Now);
-  for (SessionId Gone : Group->m_Expelled)
-    m_Witness.forget(Gone);
+  for (SessionId Expelled : Group->m_Expelled)
+    m_Witness.forget(Expelled);
 }
 
 } // namespace balsamwheel
--- a/tests/coordinator_cluster.h
+++ b/tests/coordinator_cluster.h
@@ -118,18 +118,18 @@
 
   /// Replaces a daemon by a new run at the same address.
   void restart(std::size_t Index, CoordinatorOptions Options = {}) {
-    Daemon &Value = m_Daemons[Index];
+    Daemon &Restarted = m_Daemons[Index];
     Options.m_Instance = InstanceName("i" + std::to_string(Index));
-    Options.m_Domain = Value.m_Domain;
+    Options.m_Domain = Restarted.m_Domain;
     Options.m_Region = RegionName("r");
-    Options.m_Peer = Value.m_Peer;
-    Value.m_Inbox.clear();
-    Value.m_Dead = Value.m_Paused = false;
-    ++Value.m_Run;
-    Value.m_Coordinator =
+    Options.m_Peer = Restarted.m_Peer;
+    Restarted.m_Inbox.clear();
+    Restarted.m_Dead = Restarted.m_Paused = false;
+    ++Restarted.m_Run;
+    Restarted.m_Coordinator =
         std::make_unique<Coordinator>(Options, m_Seed + ++m_Starts);
-    Value.m_Coordinator->start(m_Now);
-    Value.m_Coordinator->onTargetReady(ServiceName("orders"), 10, m_Now);
+    Restarted.m_Coordinator->start(m_Now);
+    Restarted.m_Coordinator->onTargetReady(ServiceName("orders"), 10, m_Now);
     collect(Index);
   }
 
@@ -169,11 +169,11 @@
   std::vector<std::size_t> permitted(KeyHash Key) const {
     std::vector<std::size_t> Result;
     for (std::size_t Index = 0; Index < m_Daemons.size(); ++Index) {
-      const Daemon &Value = m_Daemons[Index];
-      if (Value.m_Dead || Value.m_Paused)
+      const Daemon &Each = m_Daemons[Index];
+      if (Each.m_Dead || Each.m_Paused)
         continue;
       const Permit Answer =
-          Value.m_Coordinator->permit(ServiceName("orders"), Key, m_Now);
+          Each.m_Coordinator->permit(ServiceName("orders"), Key, m_Now);
       if (Answer.m_Granted)
         Result.push_back(Index);
     }
@@ -218,13 +218,13 @@
   }
 
   void drive(std::size_t Index) {
-    Daemon &Value = m_Daemons[Index];
-    if (Value.m_Dead || Value.m_Paused)
+    Daemon &Current = m_Daemons[Index];
+    if (Current.m_Dead || Current.m_Paused)
       return;
-    for (const auto &Event : std::exchange(Value.m_Inbox, {}))
+    for (const auto &Event : std::exchange(Current.m_Inbox, {}))
       Event();
-    if (Value.m_Coordinator->nextWake() <= m_Now)
-      Value.m_Coordinator->onTick(m_Now);
+    if (Current.m_Coordinator->nextWake() <= m_Now)
+      Current.m_Coordinator->onTick(m_Now);
     collect(Index);
   }
 
--- a/tests/unit-lease.cpp
+++ b/tests/unit-lease.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration Lease = milliseconds(1800);
-constexpr Duration Wait = milliseconds(1980);
+constexpr Duration LeaseWait = milliseconds(1980);
 constexpr TimePoint Start{std::chrono::seconds(50)};
 const std::vector<SessionId> Witnesses{SessionId(1), SessionId(2),
                                        SessionId(3)};
@@ -26,7 +26,7 @@
 }
 
 ExpulsionTracker makeTracker(bool UseWitnesses) {
-  return ExpulsionTracker({.m_LeaseWait = Wait,
+  return ExpulsionTracker({.m_LeaseWait = LeaseWait,
                          .m_PromiseLimit = hours(1),
                          .m_SuspectAfter = milliseconds(850),
                          .m_UseWitnesses = UseWitnesses});
@@ -75,29 +75,29 @@
 }
 
 TEST_CASE("a promise blocks extensions until a newer sequence is committed") {
-  Witness Value(Wait);
-  Value.onAssigned(SessionId(9), Start);
-  const TimePoint Later = Start + Wait;
-  CHECK(Value.tryPromise(SessionId(9), 4, Later));
-  CHECK_FALSE(Value.tryGrant(SessionId(9), 4, Later));
-  CHECK(Value.tryGrant(SessionId(9), 5, Later));
+  Witness Observer(LeaseWait);
+  Observer.onAssigned(SessionId(9), Start);
+  const TimePoint Later = Start + LeaseWait;
+  CHECK(Observer.tryPromise(SessionId(9), 4, Later));
+  CHECK_FALSE(Observer.tryGrant(SessionId(9), 4, Later));
+  CHECK(Observer.tryGrant(SessionId(9), 5, Later));
 }
 
 TEST_CASE("a promise is given only when no grant is outstanding") {
-  Witness Value(Wait);
-  Value.onAssigned(SessionId(9), Start);
-  CHECK_FALSE(Value.tryPromise(SessionId(9), 3, Start));
+  Witness Observer(LeaseWait);
+  Observer.onAssigned(SessionId(9), Start);
+  CHECK_FALSE(Observer.tryPromise(SessionId(9), 3, Start));
   const TimePoint Granted = Start + milliseconds(100);
-  REQUIRE(Value.tryGrant(SessionId(9), 4, Granted));
-  CHECK_FALSE(Value.tryPromise(SessionId(9), 4, Granted + milliseconds(1979)));
-  CHECK_FALSE(Value.tryGrant(SessionId(9), 4, Granted + milliseconds(1)));
-  CHECK(Value.tryPromise(SessionId(9), 4, Granted + Wait));
+  REQUIRE(Observer.tryGrant(SessionId(9), 4, Granted));
+  CHECK_FALSE(Observer.tryPromise(SessionId(9), 4, Granted + milliseconds(1979)));
+  CHECK_FALSE(Observer.tryGrant(SessionId(9), 4, Granted + milliseconds(1)));
+  CHECK(Observer.tryPromise(SessionId(9), 4, Granted + LeaseWait));
 }
 
 TEST_CASE("a session that is not a listed witness neither grants nor promises") {
-  Witness Value(Wait);
-  CHECK_FALSE(Value.tryGrant(SessionId(9), 1, Start));
-  CHECK_FALSE(Value.tryPromise(SessionId(9), 1, Start + Wait));
+  Witness Observer(LeaseWait);
+  CHECK_FALSE(Observer.tryGrant(SessionId(9), 1, Start));
+  CHECK_FALSE(Observer.tryPromise(SessionId(9), 1, Start + LeaseWait));
 }
 
 TEST_CASE("an expulsion needs the lease wait and a quorum of promises") {
@@ -105,12 +105,12 @@
   const GroupMember Subject = makeSubject(7);
   Tracker.observe(SessionId(9), 7, Start);
   Tracker.onPromise(SessionId(9), 7, SessionId(1));
-  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
   Tracker.onPromise(SessionId(9), 6, SessionId(2));
-  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
   Tracker.onPromise(SessionId(9), 7, SessionId(2));
-  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait - milliseconds(1)));
-  CHECK(Tracker.mayExpel(Subject, Start + Wait));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait - milliseconds(1)));
+  CHECK(Tracker.mayExpel(Subject, Start + LeaseWait));
 }
 
 TEST_CASE("a newer sequence restarts the wait and discards promises") {
@@ -119,8 +119,8 @@
   Tracker.onPromise(SessionId(9), 7, SessionId(1));
   Tracker.onPromise(SessionId(9), 7, SessionId(2));
   Tracker.observe(SessionId(9), 8, Start + milliseconds(600));
-  CHECK_FALSE(Tracker.mayExpel(makeSubject(7), Start + Wait));
-  CHECK_FALSE(Tracker.mayExpel(makeSubject(8), Start + Wait * 2));
+  CHECK_FALSE(Tracker.mayExpel(makeSubject(7), Start + LeaseWait));
+  CHECK_FALSE(Tracker.mayExpel(makeSubject(8), Start + LeaseWait * 2));
 }
 
 TEST_CASE("a replaced witness counts once its grants have expired") {
@@ -131,8 +131,8 @@
   const TimePoint Replaced = Start + milliseconds(500);
   Tracker.markReplaced(SessionId(2), Replaced);
   Tracker.markReplaced(SessionId(2), Replaced + milliseconds(300));
-  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
-  CHECK(Tracker.mayExpel(Subject, Replaced + Wait));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
+  CHECK(Tracker.mayExpel(Subject, Replaced + LeaseWait));
 }
 
 TEST_CASE("a vacant witness place counts once the former witness's grants expired") {
@@ -143,8 +143,8 @@
   Subject.m_Witnesses.pop_back();
   const TimePoint Left = Start + milliseconds(1900);
   Tracker.observe(Subject, Left);
-  CHECK_FALSE(Tracker.mayExpel(Subject, Start + Wait));
-  CHECK(Tracker.mayExpel(Subject, Left + Wait));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
+  CHECK(Tracker.mayExpel(Subject, Left + LeaseWait));
 }
 
 TEST_CASE("past the limit on extensions no promise is needed") {
@@ -156,5 +156,5 @@
 TEST_CASE("without witnesses the lease wait alone decides") {
   ExpulsionTracker Tracker = makeTracker(false);
   Tracker.observe(SessionId(9), 7, Start);
-  CHECK(Tracker.mayExpel(makeSubject(7), Start + Wait));
+  CHECK(Tracker.mayExpel(makeSubject(7), Start + LeaseWait));
 }
--- a/tests/unit-rows.cpp
+++ b/tests/unit-rows.cpp
@@ -41,21 +41,21 @@
   CHECK(rc::check("map row", [] {
     const auto Part = *rc::gen::inRange<std::uint32_t>(0, 9);
     const auto Count = *rc::gen::inRange<std::uint32_t>(1, 300);
-    MapRow Value =
+    MapRow Original =
         makeMapRow(ServiceName("a/b"), Part, Part * ShardsPerRow + Count);
-    Value.m_Counter = *rc::gen::arbitrary<std::uint64_t>();
-    for (ShardEntry &Entry : Value.m_Entries)
+    Original.m_Counter = *rc::gen::arbitrary<std::uint64_t>();
+    for (ShardEntry &Entry : Original.m_Entries)
       Entry = {.m_Owner = anySession(),
                .m_Epoch = Epoch(*rc::gen::arbitrary<std::uint64_t>()),
                .m_Former = anySession()};
-    const auto Result =
-        parseMapRow({mapRowKey(Value.m_Service, Part), RowVersion(1),
-                     toValue(Value, WriteId(5))});
-    RC_ASSERT(Result.has_value());
-    RC_ASSERT(Result->m_Entries == Value.m_Entries);
-    RC_ASSERT(Result->m_Counter == Value.m_Counter);
-    RC_ASSERT(Result->m_ShardCount == Value.m_ShardCount);
-    RC_ASSERT(Result->m_Service == Value.m_Service);
+    const auto Parsed =
+        parseMapRow({mapRowKey(Original.m_Service, Part), RowVersion(1),
+                     toValue(Original, WriteId(5))});
+    RC_ASSERT(Parsed.has_value());
+    RC_ASSERT(Parsed->m_Entries == Original.m_Entries);
+    RC_ASSERT(Parsed->m_Counter == Original.m_Counter);
+    RC_ASSERT(Parsed->m_ShardCount == Original.m_ShardCount);
+    RC_ASSERT(Parsed->m_Service == Original.m_Service);
   }));
 }
 
@@ -69,55 +69,55 @@
 }
 
 TEST_CASE("a group row is unchanged after encoding and parsing") {
-  GroupRow Value = makeGroup(5);
-  Value.m_Members[2].m_Sequence = 77;
-  Value.m_Members[2].m_Member.m_Service = ServiceName("orders");
-  Value.remove(SessionId(1));
-  assignWitnesses(Value);
+  GroupRow Group = makeGroup(5);
+  Group.m_Members[2].m_Sequence = 77;
+  Group.m_Members[2].m_Member.m_Service = ServiceName("orders");
+  Group.remove(SessionId(1));
+  assignWitnesses(Group);
   const auto Result = parseGroupRow(
-      {groupRowKey(4), RowVersion(3), toValue(Value, WriteId(5))});
+      {groupRowKey(4), RowVersion(3), toValue(Group, WriteId(5))});
   REQUIRE(Result.has_value());
-  CHECK(toValue(*Result, WriteId(5)) == toValue(Value, WriteId(5)));
+  CHECK(toValue(*Result, WriteId(5)) == toValue(Group, WriteId(5)));
   CHECK(Result->wasExpelled(SessionId(1)));
   CHECK(Result->find(SessionId(3))->m_Sequence == 77);
 }
 
 TEST_CASE("witnesses are other members, are kept, and cover all domains") {
   CHECK(rc::check("witnesses", [] {
-    GroupRow Value = makeGroup(*rc::gen::inRange<std::size_t>(1, 17));
-    assignWitnesses(Value);
+    GroupRow Group = makeGroup(*rc::gen::inRange<std::size_t>(1, 17));
+    assignWitnesses(Group);
     const std::size_t Wanted =
-        std::min(WitnessCount, Value.m_Members.size() - 1);
-    for (const GroupMember &Subject : Value.m_Members) {
+        std::min(WitnessCount, Group.m_Members.size() - 1);
+    for (const GroupMember &Subject : Group.m_Members) {
       RC_ASSERT(Subject.m_Witnesses.size() == Wanted);
       std::set<DomainName> Domains;
       for (SessionId Witness : Subject.m_Witnesses) {
         RC_ASSERT(Witness != Subject.m_Member.m_Session);
-        Domains.insert(Value.find(Witness)->m_Member.m_Domain);
+        Domains.insert(Group.find(Witness)->m_Member.m_Domain);
       }
-      if (Value.m_Members.size() >= 6)
+      if (Group.m_Members.size() >= 6)
         RC_ASSERT(Domains.size() == 3U);
     }
-    const std::vector<SessionId> Before = Value.m_Members[0].m_Witnesses;
+    const std::vector<SessionId> Before = Group.m_Members[0].m_Witnesses;
     if (Before.empty())
       return;
-    Value.remove(Before.front());
-    assignWitnesses(Value);
+    Group.remove(Before.front());
+    assignWitnesses(Group);
     for (std::size_t Index = 1; Index < Before.size(); ++Index)
-      RC_ASSERT(std::ranges::count(Value.m_Members[0].m_Witnesses,
+      RC_ASSERT(std::ranges::count(Group.m_Members[0].m_Witnesses,
                                    Before[Index]) == 1);
   }));
 }
 
 TEST_CASE("the configuration version never decreases, whatever the order of rows") {
   CHECK(rc::check("monotone", [] {
-    ConfigTracker Value;
+    ConfigTracker Tracker;
     std::uint64_t Highest = 0;
     for (int Count = 0; Count < 20; ++Count) {
       const auto Next = *rc::gen::inRange<std::uint64_t>(1, 50);
-      Value.merge(configRow(Next), RowVersion(Count + 1));
+      Tracker.merge(configRow(Next), RowVersion(Count + 1));
       Highest = std::max(Highest, Next);
-      RC_ASSERT(Value.version() == ConfigVersion(Highest));
+      RC_ASSERT(Tracker.version() == ConfigVersion(Highest));
     }
   }));
 }
