--- a/include/balsamwheel/detail/coordination/config_tracker.h
+++ b/include/balsamwheel/detail/coordination/config_tracker.h
@@ -42,8 +42,8 @@
   bool mergeDelta(const Row &Stored, RowVersion Head);
 
   std::shared_ptr<const Config> m_Config;
-  /// Head version before which a reader needs the complete document: that of the
-  /// last document or of the newest delta that is no longer stored.
+  /// Head version before which a reader needs the complete document: that of
+  /// the last document or of the newest delta that is no longer stored.
   RowVersion m_DocumentHead;
   std::map<std::uint64_t, StoredDelta> m_Deltas;
 };
--- a/include/balsamwheel/detail/coordination/expulsion.h
+++ b/include/balsamwheel/detail/coordination/expulsion.h
@@ -1,5 +1,5 @@
-// The expelling side of leases: decides when a session that stopped renewing may
-// be expelled.
+// The expelling side of leases: decides when a session that stopped renewing
+// may be expelled.
 #pragma once
 
 #include "balsamwheel/detail/coordination/group_row.h"
@@ -55,8 +55,8 @@
   };
   struct WitnessSet {
     std::vector<SessionId> m_Witnesses;
-    /// When this set was first seen. Grants of a witness that left before may be
-    /// in force for another lease duration.
+    /// When this set was first seen. Grants of a witness that left before may
+    /// be in force for another lease duration.
     TimePoint m_UnchangedSince;
   };
 
--- a/include/balsamwheel/detail/coordination/group_leader.h
+++ b/include/balsamwheel/detail/coordination/group_leader.h
@@ -12,8 +12,8 @@
 namespace balsamwheel {
 
 /// Collects heartbeats and commits them to the group's row in batches.
-/// Leadership serves only to keep the number of writes low: any member may write
-/// the row at any time, since writes are conditional on its version.
+/// Leadership serves only to keep the number of writes low: any member may
+/// write the row at any time, since writes are conditional on its version.
 class GroupLeader {
 public:
   /// Sends the acknowledgement of a heartbeat, which may be this session's own.
@@ -32,8 +32,8 @@
   void onHeartbeat(const Heartbeat &Message, const PeerAddress &From,
                    TimePoint Now);
   void onPromiseReply(const PromiseReply &Reply);
-  /// Handles changed rows in the view: sends them to the group's members if this
-  /// session leads, and acknowledges heartbeats that are now committed.
+  /// Handles changed rows in the view: sends them to the group's members if
+  /// this session leads, and acknowledges heartbeats that are now committed.
   void onViewChanged(TimePoint Now);
   /// Removes this session from the row; it is not admitted again.
   ///
--- a/include/balsamwheel/detail/coordination/group_row.h
+++ b/include/balsamwheel/detail/coordination/group_row.h
@@ -13,8 +13,8 @@
 
 inline constexpr char GroupRowPrefix[] = "group/";
 
-/// Witnesses of a session. A vacant place counts as a witness that grants nothing
-/// and has given every promise, so it may be filled at any time.
+/// Witnesses of a session. A vacant place counts as a witness that grants
+/// nothing and has given every promise, so it may be filled at any time.
 inline constexpr std::size_t WitnessCount = 3;
 /// Number of grants that extend a lease. Any two quorums share a witness.
 inline constexpr std::size_t WitnessQuorum = 2;
@@ -61,9 +61,9 @@
 /// The members in the order in which they lead the group and write its row.
 std::vector<SessionId> leaderOrder(const GroupRow &Group);
 
-/// Completes the witness sets of all members: first with one witness per failure
-/// domain while there are further domains, then with any member. Witnesses that
-/// are still members are kept.
+/// Completes the witness sets of all members: first with one witness per
+/// failure domain while there are further domains, then with any member.
+/// Witnesses that are still members are kept.
 void assignWitnesses(GroupRow &Group);
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/head_poller.h
+++ b/include/balsamwheel/detail/coordination/head_poller.h
@@ -18,8 +18,8 @@
 
   /// Reads all rows; for a daemon whose view is empty.
   void readAll(TimePoint Now, Done OnDone);
-  /// Reads the head row, \p ExtraKeys and every row whose known counter is below
-  /// the one in the head row. Queued while another poll is running.
+  /// Reads the head row, \p ExtraKeys and every row whose known counter is
+  /// below the one in the head row. Queued while another poll is running.
   void poll(TimePoint Now, std::vector<RowKey> ExtraKeys, Done OnDone);
   /// The latest time at which the view is known to have been up to date.
   TimePoint upToDateAt() const { return m_UpToDateAt; }
--- a/include/balsamwheel/detail/coordination/witness.h
+++ b/include/balsamwheel/detail/coordination/witness.h
@@ -1,5 +1,5 @@
-// The witness's side of leases: extends leases of other sessions while the table
-// is unreachable, and promises to stop before a session is expelled.
+// The witness's side of leases: extends leases of other sessions while the
+// table is unreachable, and promises to stop before a session is expelled.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
--- a/include/balsamwheel/detail/platform/table.h
+++ b/include/balsamwheel/detail/platform/table.h
@@ -16,8 +16,8 @@
 /// Increases with each write of a row; 0 means that the row is absent.
 using RowVersion = StrongId<struct RowVersionTag, std::uint64_t>;
 
-/// Random id of a transaction. Stored in the rows that it writes, so that a commit
-/// whose reply was lost can be recognised when the rows are read again.
+/// Random id of a transaction. Stored in the rows that it writes, so that a
+/// commit whose reply was lost can be recognised when the rows are read again.
 using WriteId = StrongId<struct WriteIdTag, std::uint64_t>;
 
 struct Row {
@@ -59,8 +59,8 @@
   Conflict,
   /// The request did not reach the table; nothing was written.
   Unavailable,
-  /// There was no reply; the transaction may have been applied or may be applied
-  /// later.
+  /// There was no reply; the transaction may have been applied or may be
+  /// applied later.
   Ambiguous,
 };
 
--- a/src/coordination/config_tracker.cpp
+++ b/src/coordination/config_tracker.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// With more missing versions than this, the complete document is read instead of
-/// deltas.
+/// With more missing versions than this, the complete document is read instead
+/// of deltas.
 constexpr std::uint64_t MaxDeltasToFetch = 16;
 
 std::optional<std::uint64_t> deltaVersion(const RowKey &Key) {
--- a/src/coordination/context.cpp
+++ b/src/coordination/context.cpp
@@ -1,4 +1,5 @@
-// Messages, changes of the view and random values for the parts of a coordinator.
+// Messages, changes of the view and random values for the parts of a
+// coordinator.
 #include "balsamwheel/detail/coordination/context.h"
 
 #include "balsamwheel/detail/core/hash.h"
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -116,8 +116,9 @@
   }
   const bool Fresh =
       Now - m_Poller->upToDateAt() <= m_Context->m_Options.m_Timing.m_Lease / 2;
-  // The first writer commits without a read if its view is recent. Others always
-  // read the row: a writer before them may have committed the heartbeats already.
+  // The first writer commits without a read if its view is recent. Others
+  // always read the row: a writer before them may have committed the heartbeats
+  // already.
   if (Fresh && isFirstWriter()) {
     flushWithFreshView(Now);
     return;
--- a/src/coordination/head_poller.cpp
+++ b/src/coordination/head_poller.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A poll fails if the view is not up to date after this many reads; the table may
-/// change between two of them.
+/// A poll fails if the view is not up to date after this many reads; the table
+/// may change between two of them.
 constexpr int MaxReadRounds = 4;
 
 } // namespace
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -28,8 +28,8 @@
 constexpr std::size_t FailoversBeforePreference = 2;
 /// Time-out for removing this session from its group's row.
 constexpr Duration LeaveTimeout = std::chrono::seconds(6);
-/// Cap on doubling, with each further attempt to join, the range from which the number of
-/// a new group is drawn.
+/// Cap on doubling, with each further attempt to join, the range from which the
+/// number of a new group is drawn.
 constexpr std::size_t MaxGroupDoublings = 6;
 
 Duration grantDuration(const CoordinationTiming &Timing) {
