--- a/src/coordination/config_tracker.cpp
+++ b/src/coordination/config_tracker.cpp
@@ -1,4 +1,4 @@
-// The newest configuration, never an older one.
+// Applies configuration documents and deltas, never an older version.
 #include "balsamwheel/detail/coordination/config_tracker.h"
 
 #include "balsamwheel/detail/core/safety_rules.h"
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// More missing versions than this are fetched as one document.
-constexpr std::uint64_t MostDeltasRead = 16;
+/// With more missing versions than this, the complete document is read instead
+/// of deltas.
+constexpr std::uint64_t MaxDeltasToFetch = 16;
 
 std::optional<std::uint64_t> deltaVersion(const RowKey &Key) {
   const std::string &Text = Key.value();
@@ -88,7 +89,7 @@
   const std::uint64_t Known = version().value();
   if (Wanted.value() <= Known)
     return {};
-  if (Known == 0 || Wanted.value() - Known > MostDeltasRead)
+  if (Known == 0 || Wanted.value() - Known > MaxDeltasToFetch)
     return {ConfigHeadRow};
   std::vector<RowKey> Result;
   for (std::uint64_t Next = Known + 1; Next <= Wanted.value(); ++Next)
--- a/src/coordination/membership_extension.cpp
+++ b/src/coordination/membership_extension.cpp
@@ -1,4 +1,5 @@
-// Extension of leases by witnesses, from the side of holder and witness.
+// Lease extension by witnesses while the table is unreachable: the holder's and
+// the witness's side.
 #include "balsamwheel/detail/coordination/membership.h"
 
 #include <algorithm>
@@ -7,28 +8,29 @@
 
 namespace {
 
-/// Extension is asked for when less than this share of the lease is left.
-constexpr double ExtensionShare = 0.45;
-constexpr Duration ExtensionRetry = std::chrono::milliseconds(250);
+/// Fraction of the lease duration: witnesses are asked for an extension when
+/// less than this is left.
+constexpr double ExtensionThreshold = 0.45;
+constexpr Duration ExtensionRetryDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
 void Membership::scheduleExtension() {
   const CoordinationTiming &Timing = m_Context->m_Options.m_Timing;
   const auto Left =
-      std::chrono::duration_cast<Duration>(Timing.m_Lease * ExtensionShare);
+      std::chrono::duration_cast<Duration>(Timing.m_Lease * ExtensionThreshold);
   m_ExtendAt =
       m_Context->m_Options.m_UseWitnesses ? m_Lease.end() - Left : Never;
 }
 
-void Membership::askExtension(TimePoint Now) {
+void Membership::requestExtension(TimePoint Now) {
   scheduleExtension();
   if (m_State != State::Joined || m_ExtendAt > Now)
     return;
-  m_ExtendAt = Now + ExtensionRetry;
+  m_ExtendAt = Now + ExtensionRetryDelay;
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
-  const GroupMember *Own = Group ? Group->find(m_Context->m_Session) : nullptr;
-  if (!Own)
+  const GroupMember *Self = Group ? Group->find(m_Context->m_Session) : nullptr;
+  if (!Self)
     return;
   m_Lease.startRenewal(Now);
   ExtendRequest Request;
@@ -39,7 +41,7 @@
   Request.m_GroupRow = m_AckedRow;
   Request.m_ConfigApplied = m_Context->m_View.configVersion();
   Request.m_MapSeen = m_Context->m_View.completeHead().value();
-  for (SessionId Witness : Own->m_Witnesses)
+  for (SessionId Witness : Self->m_Witnesses)
     m_Context->sendTo(Witness, Request);
 }
 
@@ -54,17 +56,17 @@
     m_Context->send(Subject->m_Member.m_Peer,
                     Changes{m_Context->m_View.completeHead(),
                             m_Context->m_View.rowsSince(Seen)});
-  const bool Named =
+  const bool IsListed =
       std::ranges::count(Subject->m_Witnesses, m_Context->m_Session) > 0;
   const bool MayGrant =
-      m_State == State::Joined && m_Lease.holds(Now) && Named && !Behind;
+      m_State == State::Joined && m_Lease.holds(Now) && IsListed && !Behind;
   ExtendReply Reply;
   Reply.m_Session = Message.m_Session;
   Reply.m_Witness = m_Context->m_Session;
   Reply.m_Sequence = Message.m_Sequence;
   Reply.m_Granted =
       MayGrant &&
-      m_Witness.grant(Message.m_Session, Message.m_SequenceCommitted, Now);
+      m_Witness.tryGrant(Message.m_Session, Message.m_SequenceCommitted, Now);
   m_Context->send(Subject->m_Member.m_Peer, Reply);
 }
 
@@ -73,10 +75,10 @@
       Message.m_Session != m_Context->m_Session)
     return;
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
-  const GroupMember *Own = Group ? Group->find(m_Context->m_Session) : nullptr;
-  if (!Own)
+  const GroupMember *Self = Group ? Group->find(m_Context->m_Session) : nullptr;
+  if (!Self)
     return;
-  m_Lease.onGrant(Message.m_Sequence, Message.m_Witness, Own->m_Witnesses);
+  m_Lease.onGrant(Message.m_Sequence, Message.m_Witness, Self->m_Witnesses);
   if (m_Lease.holds(Now))
     scheduleExtension();
 }
@@ -91,7 +93,7 @@
   Reply.m_GroupRow = Message.m_GroupRow;
   Reply.m_Promised =
       Message.m_Sequence != 0 &&
-      m_Witness.promise(Message.m_Subject, Message.m_Sequence, Now);
+      m_Witness.tryPromise(Message.m_Subject, Message.m_Sequence, Now);
   return Reply;
 }
 
@@ -104,15 +106,15 @@
   m_Leader.onPromiseReply(Message);
 }
 
-void Membership::noteWitnessed(TimePoint Now) {
+void Membership::updateWitnessedSessions(TimePoint Now) {
   const GroupRow *Group = m_Context->m_View.findGroup(m_Group);
   if (!Group)
     return;
-  for (const GroupMember &Value : Group->m_Members)
-    if (std::ranges::count(Value.m_Witnesses, m_Context->m_Session))
-      m_Witness.onNamed(Value.m_Member.m_Session, Now);
-  for (SessionId Gone : Group->m_Expelled)
-    m_Witness.forget(Gone);
+  for (const GroupMember &Each : Group->m_Members)
+    if (std::ranges::count(Each.m_Witnesses, m_Context->m_Session))
+      m_Witness.onAssigned(Each.m_Member.m_Session, Now);
+  for (SessionId Expelled : Group->m_Expelled)
+    m_Witness.forget(Expelled);
 }
 
 } // namespace balsamwheel
--- a/tests/unit-lease.cpp
+++ b/tests/unit-lease.cpp
@@ -1,4 +1,4 @@
-// Leases from both sides: holder, witness and taker.
+// Leases as seen by the holder, its witnesses and a member that expels it.
 #include "balsamwheel/detail/coordination/expulsion.h"
 #include "balsamwheel/detail/coordination/lease.h"
 #include "balsamwheel/detail/coordination/witness.h"
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration Lease = milliseconds(1800);
-constexpr Duration Wait = milliseconds(1980);
+constexpr Duration LeaseWait = milliseconds(1980);
 constexpr TimePoint Start{std::chrono::seconds(50)};
 const std::vector<SessionId> Witnesses{SessionId(1), SessionId(2),
                                        SessionId(3)};
@@ -25,16 +25,16 @@
   return Result;
 }
 
-ExpulsionJudge makeJudge(bool UseWitnesses) {
-  return ExpulsionJudge({.m_Wait = Wait,
-                         .m_ExtensionLimit = hours(1),
-                         .m_Suspect = milliseconds(850),
-                         .m_UseWitnesses = UseWitnesses});
+ExpulsionTracker makeTracker(bool UseWitnesses) {
+  return ExpulsionTracker({.m_LeaseWait = LeaseWait,
+                           .m_PromiseLimit = hours(1),
+                           .m_SuspectAfter = milliseconds(850),
+                           .m_UseWitnesses = UseWitnesses});
 }
 
 } // namespace
 
-TEST_CASE("a lease counts from before the renewal was sent") {
+TEST_CASE("a lease counts from the send time of its renewal") {
   LeaseHolder Holder(Lease, hours(1));
   const std::uint64_t First = Holder.startRenewal(Start);
   CHECK_FALSE(Holder.holds(Start));
@@ -45,14 +45,14 @@
   CHECK_FALSE(Holder.onCommitted(First));
 }
 
-TEST_CASE("a renewal that was never started counts for nothing") {
+TEST_CASE("a commit of a renewal that was never started is ignored") {
   LeaseHolder Holder(Lease, hours(1));
   Holder.startRenewal(Start);
   CHECK_FALSE(Holder.onCommitted(2));
   CHECK_FALSE(Holder.holds(Start));
 }
 
-TEST_CASE("only a quorum of named witnesses extends a lease") {
+TEST_CASE("only a quorum of listed witnesses extends a lease") {
   LeaseHolder Holder(Lease, hours(1));
   Holder.onCommitted(Holder.startRenewal(Start));
   const std::uint64_t Next = Holder.startRenewal(Start + milliseconds(600));
@@ -65,7 +65,7 @@
   CHECK(Holder.extended());
 }
 
-TEST_CASE("extension ends with its limit after the last commit") {
+TEST_CASE("extensions end at the limit after the last commit") {
   LeaseHolder Holder(Lease, milliseconds(2000));
   Holder.onCommitted(Holder.startRenewal(Start));
   const std::uint64_t Next = Holder.startRenewal(Start + milliseconds(900));
@@ -74,87 +74,88 @@
   CHECK(Holder.end() == Start + milliseconds(2000));
 }
 
-TEST_CASE("a promise bars extension until a newer sequence is committed") {
-  Witness Value(Wait);
-  Value.onNamed(SessionId(9), Start);
-  const TimePoint Later = Start + Wait;
-  CHECK(Value.promise(SessionId(9), 4, Later));
-  CHECK_FALSE(Value.grant(SessionId(9), 4, Later));
-  CHECK(Value.grant(SessionId(9), 5, Later));
+TEST_CASE("a promise blocks extensions until a newer sequence is committed") {
+  Witness Observer(LeaseWait);
+  Observer.onAssigned(SessionId(9), Start);
+  const TimePoint Later = Start + LeaseWait;
+  CHECK(Observer.tryPromise(SessionId(9), 4, Later));
+  CHECK_FALSE(Observer.tryGrant(SessionId(9), 4, Later));
+  CHECK(Observer.tryGrant(SessionId(9), 5, Later));
 }
 
 TEST_CASE("a promise is given only when no grant is outstanding") {
-  Witness Value(Wait);
-  Value.onNamed(SessionId(9), Start);
-  CHECK_FALSE(Value.promise(SessionId(9), 3, Start));
+  Witness Observer(LeaseWait);
+  Observer.onAssigned(SessionId(9), Start);
+  CHECK_FALSE(Observer.tryPromise(SessionId(9), 3, Start));
   const TimePoint Granted = Start + milliseconds(100);
-  REQUIRE(Value.grant(SessionId(9), 4, Granted));
-  CHECK_FALSE(Value.promise(SessionId(9), 4, Granted + milliseconds(1979)));
-  CHECK_FALSE(Value.grant(SessionId(9), 4, Granted + milliseconds(1)));
-  CHECK(Value.promise(SessionId(9), 4, Granted + Wait));
+  REQUIRE(Observer.tryGrant(SessionId(9), 4, Granted));
+  CHECK_FALSE(
+      Observer.tryPromise(SessionId(9), 4, Granted + milliseconds(1979)));
+  CHECK_FALSE(Observer.tryGrant(SessionId(9), 4, Granted + milliseconds(1)));
+  CHECK(Observer.tryPromise(SessionId(9), 4, Granted + LeaseWait));
 }
 
-TEST_CASE("who is no witness of a session neither grants nor promises") {
-  Witness Value(Wait);
-  CHECK_FALSE(Value.grant(SessionId(9), 1, Start));
-  CHECK_FALSE(Value.promise(SessionId(9), 1, Start + Wait));
+TEST_CASE("only a listed witness of a session grants or promises") {
+  Witness Observer(LeaseWait);
+  CHECK_FALSE(Observer.tryGrant(SessionId(9), 1, Start));
+  CHECK_FALSE(Observer.tryPromise(SessionId(9), 1, Start + LeaseWait));
 }
 
-TEST_CASE("a taker waits for the lease and for a quorum of promises") {
-  ExpulsionJudge Judge = makeJudge(true);
+TEST_CASE("an expulsion needs the lease wait and a quorum of promises") {
+  ExpulsionTracker Tracker = makeTracker(true);
   const GroupMember Subject = makeSubject(7);
-  Judge.observe(SessionId(9), 7, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  Judge.onPromise(SessionId(9), 6, SessionId(2));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  Judge.onPromise(SessionId(9), 7, SessionId(2));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait - milliseconds(1)));
-  CHECK(Judge.mayExpel(Subject, Start + Wait));
+  Tracker.observe(SessionId(9), 7, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
+  Tracker.onPromise(SessionId(9), 6, SessionId(2));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
+  Tracker.onPromise(SessionId(9), 7, SessionId(2));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait - milliseconds(1)));
+  CHECK(Tracker.mayExpel(Subject, Start + LeaseWait));
 }
 
-TEST_CASE("a newer sequence starts the wait and the promises anew") {
-  ExpulsionJudge Judge = makeJudge(true);
-  Judge.observe(SessionId(9), 7, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
-  Judge.onPromise(SessionId(9), 7, SessionId(2));
-  Judge.observe(SessionId(9), 8, Start + milliseconds(600));
-  CHECK_FALSE(Judge.mayExpel(makeSubject(7), Start + Wait));
-  CHECK_FALSE(Judge.mayExpel(makeSubject(8), Start + Wait * 2));
+TEST_CASE("a newer sequence restarts the wait and discards promises") {
+  ExpulsionTracker Tracker = makeTracker(true);
+  Tracker.observe(SessionId(9), 7, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
+  Tracker.onPromise(SessionId(9), 7, SessionId(2));
+  Tracker.observe(SessionId(9), 8, Start + milliseconds(600));
+  CHECK_FALSE(Tracker.mayExpel(makeSubject(7), Start + LeaseWait));
+  CHECK_FALSE(Tracker.mayExpel(makeSubject(8), Start + LeaseWait * 2));
 }
 
-TEST_CASE("a replaced witness counts once its grants have run out") {
-  ExpulsionJudge Judge = makeJudge(true);
+TEST_CASE("a replaced witness counts once its grants have expired") {
+  ExpulsionTracker Tracker = makeTracker(true);
   const GroupMember Subject = makeSubject(7);
-  Judge.observe(Subject, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
+  Tracker.observe(Subject, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
   const TimePoint Replaced = Start + milliseconds(500);
-  Judge.noteReplaced(SessionId(2), Replaced);
-  Judge.noteReplaced(SessionId(2), Replaced + milliseconds(300));
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  CHECK(Judge.mayExpel(Subject, Replaced + Wait));
+  Tracker.markReplaced(SessionId(2), Replaced);
+  Tracker.markReplaced(SessionId(2), Replaced + milliseconds(300));
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
+  CHECK(Tracker.mayExpel(Subject, Replaced + LeaseWait));
 }
 
-TEST_CASE("a vacant place counts once the former witness's grants ran out") {
-  ExpulsionJudge Judge = makeJudge(true);
+TEST_CASE("a vacant place counts once the former witness's grants expired") {
+  ExpulsionTracker Tracker = makeTracker(true);
   GroupMember Subject = makeSubject(7);
-  Judge.observe(Subject, Start);
-  Judge.onPromise(SessionId(9), 7, SessionId(1));
+  Tracker.observe(Subject, Start);
+  Tracker.onPromise(SessionId(9), 7, SessionId(1));
   Subject.m_Witnesses.pop_back();
   const TimePoint Left = Start + milliseconds(1900);
-  Judge.observe(Subject, Left);
-  CHECK_FALSE(Judge.mayExpel(Subject, Start + Wait));
-  CHECK(Judge.mayExpel(Subject, Left + Wait));
+  Tracker.observe(Subject, Left);
+  CHECK_FALSE(Tracker.mayExpel(Subject, Start + LeaseWait));
+  CHECK(Tracker.mayExpel(Subject, Left + LeaseWait));
 }
 
-TEST_CASE("past the limit of extension no promise is needed") {
-  ExpulsionJudge Judge = makeJudge(true);
-  Judge.observe(makeSubject(7), Start);
-  CHECK(Judge.mayExpel(makeSubject(7), Start + hours(1)));
+TEST_CASE("past the limit on extensions no promise is needed") {
+  ExpulsionTracker Tracker = makeTracker(true);
+  Tracker.observe(makeSubject(7), Start);
+  CHECK(Tracker.mayExpel(makeSubject(7), Start + hours(1)));
 }
 
 TEST_CASE("without witnesses the lease wait alone decides") {
-  ExpulsionJudge Judge = makeJudge(false);
-  Judge.observe(SessionId(9), 7, Start);
-  CHECK(Judge.mayExpel(makeSubject(7), Start + Wait));
+  ExpulsionTracker Tracker = makeTracker(false);
+  Tracker.observe(SessionId(9), 7, Start);
+  CHECK(Tracker.mayExpel(makeSubject(7), Start + LeaseWait));
 }
