--- a/include/balsamwheel/coordination.h
+++ b/include/balsamwheel/coordination.h
@@ -1,6 +1,7 @@
-// Public header of the coordination library: pure state machines that decide
-// who owns a key, who may run a request, and how much a target bears. They
-// perform no I/O; time, randomness and replies are passed in.
+// Public header of the coordination library: state machines that decide which
+// instance owns a key, which daemon may run a request, and how much load a
+// target can take. They perform no I/O; time, randomness and replies are passed
+// in.
 #pragma once
 
 #include "balsamwheel/detail/coordination/coordinator.h"
--- a/include/balsamwheel/detail/coordination/load_balancer.h
+++ b/include/balsamwheel/detail/coordination/load_balancer.h
@@ -1,4 +1,4 @@
-// Decides which shards change owners because of their load.
+// Decides which shards move to other owners to even out the load.
 #pragma once
 
 #include "balsamwheel/detail/coordination/cluster_view.h"
@@ -11,33 +11,36 @@
 
 namespace balsamwheel {
 
-/// Works on the reports of a service's owners, once all of them are fresh.
+/// Plans moves for a service when there is a recent load report from each of
+/// its owners.
 ///
-/// Invariant: within a minute no more than 1 % of a service's shards are
-/// moved, and never less than one may be; no move makes its receiver the new
-/// peak.
+/// Invariant: at most 1 % of a service's shards, but at least one shard, may be
+/// moved within a minute; no move makes its receiver the owner with the highest
+/// load.
 class LoadBalancer {
 public:
   void onReport(const OwnerReport &Report, TimePoint Now);
-  /// The moves that are due; counts them as made.
+  /// Returns the moves that are due and counts them as made.
   ///
-  /// \param MaxAge reports older than this are not used.
+  /// \param MaxAge older reports are ignored.
   std::vector<LoadMove> takeMoves(const ClusterView &View, Duration MaxAge,
                                   TimePoint Now);
 
 private:
-  struct Kept {
+  struct ReceivedReport {
     OwnerReport m_Report;
-    TimePoint m_At;
+    TimePoint m_ReceivedAt;
   };
-  struct Budget {
-    std::vector<TimePoint> m_Moves;
-    /// Since when the load has been out of bounds; none while within.
-    std::optional<TimePoint> m_UnevenSince;
-    TimePoint m_NotBefore;
+  struct ServiceState {
+    /// Times of the moves that count against the budget of the current period.
+    std::vector<TimePoint> m_MoveTimes;
+    /// Since when the load has been imbalanced; none while it is balanced.
+    std::optional<TimePoint> m_ImbalancedSince;
+    TimePoint m_CooldownEnd;
   };
   struct Owner {
     SessionId m_Session;
+    /// Requests per second over all its shards.
     double m_Rate = 0;
     std::vector<OwnerReport::Load> m_Hottest;
   };
@@ -49,8 +52,8 @@
                    std::vector<Owner> Owners, TimePoint Now,
                    std::vector<LoadMove> &Result);
 
-  std::unordered_map<SessionId, Kept> m_Reports;
-  std::unordered_map<ServiceName, Budget> m_Budgets;
+  std::unordered_map<SessionId, ReceivedReport> m_Reports;
+  std::unordered_map<ServiceName, ServiceState> m_ServiceStates;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/load_reporter.h
+++ b/include/balsamwheel/detail/coordination/load_reporter.h
@@ -1,4 +1,5 @@
-// Carries load reports from owners to the planner and its load balancer.
+// Sends this session's load reports to the planner and passes received reports
+// to the load balancer.
 #pragma once
 
 #include "balsamwheel/detail/coordination/context.h"
@@ -16,9 +17,9 @@
   LoadReporter &operator=(const LoadReporter &) = delete;
 
   void start(TimePoint Now);
-  /// An order for a shard started.
-  void count(const ShardRef &Shard) { m_Tracker.count(Shard); }
-  /// The session was expelled.
+  /// Records that an order for a shard started.
+  void countOrder(const ShardRef &Shard) { m_Tracker.countOrder(Shard); }
+  /// Discards the rates; called when the session was expelled.
   void clear() { m_Tracker.clear(); }
   void onReport(const OwnerReport &Message, TimePoint Now);
   void onTick(TimePoint Now);
--- a/include/balsamwheel/detail/coordination/load_tracker.h
+++ b/include/balsamwheel/detail/coordination/load_tracker.h
@@ -1,4 +1,4 @@
-// What load this session's shards carry, smoothed.
+// Smoothed request rates of this session's shards.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -13,19 +13,21 @@
 
 class LoadTracker {
 public:
-  /// An order for a shard started.
-  void count(const ShardRef &Shard) { ++m_Shards[Shard].m_Count; }
-  /// Ends a period: folds its counts into the rates.
+  /// Records that an order for a shard started.
+  void countOrder(const ShardRef &Shard) { ++m_Shards[Shard].m_Count; }
+  /// Ends a measuring period and updates the smoothed rates with its counts.
   void endPeriod(TimePoint Now);
   /// The shards with the highest rates, highest first.
-  std::vector<OwnerReport::Load> hottest(std::size_t Most) const;
-  /// Requests a second over all shards.
-  double total() const;
+  std::vector<OwnerReport::Load> hottest(std::size_t MaxShards) const;
+  /// Requests per second over all shards.
+  double totalRate() const;
   void clear() { m_Shards.clear(); }
 
 private:
   struct Load {
+    /// Orders started in the current period.
     std::uint64_t m_Count = 0;
+    /// Requests per second, smoothed.
     double m_Rate = 0;
   };
 
--- a/include/balsamwheel/detail/coordination/ownership.h
+++ b/include/balsamwheel/detail/coordination/ownership.h
@@ -1,4 +1,5 @@
-// The shards of this session: which are active, and how they change hands.
+// The shards that this session owns: which are active, and their handover from
+// and to other sessions.
 #pragma once
 
 #include "balsamwheel/detail/coordination/context.h"
@@ -12,86 +13,99 @@
 
 namespace balsamwheel {
 
-/// Invariant: a shard is active only when no former owner is named, or the
-/// former owner has yielded it under the current epoch, or is gone.
+/// Invariant: a shard is active only if the map names no former owner, or the
+/// former owner has yielded the shard under the current epoch, or the former
+/// owner's session has ended.
 class Ownership {
 public:
   explicit Ownership(CoordinationContext &Context) : m_Context(&Context) {}
 
-  /// Compares the map with what is held; activates, yields and asks.
+  /// Compares the map with the held shards; activates shards, yields shards to
+  /// new owners and requests yields from former owners.
   void update(TimePoint Now);
   void onTick(TimePoint Now);
-  TimePoint nextWake() const { return m_AskAt; }
+  TimePoint nextWake() const { return m_YieldRequestAt; }
   void onYield(const Yield &Message, TimePoint Now);
   void onYieldRequest(const YieldRequest &Message, const PeerAddress &From);
   void onKeyFinished(const KeyFinished &Message);
   void orderStarted(const ShardRef &Shard, KeyHash Key);
   void orderFinished(const ShardRef &Shard, KeyHash Key);
-  /// The session was expelled: nothing is held any more.
+  /// Drops all held shards; called when the session was expelled.
   void reset();
 
   struct Check {
     Reason m_Reason = Reason::NotOwner;
     Epoch m_Epoch;
   };
-  /// Whether an order for a key may be sent, the lease aside.
+  /// Whether an order for a key may be sent. Does not check the lease.
   Check check(const ShardRef &Shard, KeyHash Key) const;
   std::optional<TimePoint> activeSince(const ShardRef &Shard) const;
-  /// The live session a shard was taken from, 0 if none.
+  /// The session that a shard was taken over from; 0 if there is none or it is
+  /// no longer live.
   SessionId formerOwner(const ShardRef &Shard) const;
-  /// Shards taken over completely whose entry still names a former owner.
+  /// Shards whose handover is complete although their map entry still names a
+  /// live former owner.
   std::vector<std::pair<ShardRef, Epoch>> settled() const;
   bool hasOrders() const { return !m_InFlight.empty(); }
-  /// The map names this session as an owner.
+  /// Whether the map names this session as owner of any shard.
   bool ownsAny() const { return m_Owned != 0; }
-  std::size_t owned() const { return m_Owned; }
-  /// Shards that are not active yet.
-  std::size_t pending() const;
-  /// Active shards with keys that wait for the former owner.
-  std::size_t waiting() const;
+  std::size_t ownedCount() const { return m_Owned; }
+  /// Number of held shards that are not active yet.
+  std::size_t pendingCount() const;
+  /// Number of active shards with keys that still have orders running at the
+  /// former owner.
+  std::size_t resolvingCount() const;
 
 private:
-  struct Held {
+  struct HeldShard {
     Epoch m_Epoch;
     SessionId m_Former;
     bool m_Active = false;
-    /// The former owner's part is over.
+    /// The former owner has no running orders left for this shard.
     bool m_Resolved = false;
     TimePoint m_ActiveSince;
     /// Keys with orders still running at the former owner.
-    std::unordered_set<KeyHash> m_Waiting;
+    std::unordered_set<KeyHash> m_WaitingKeys;
   };
-  struct EarlyYield {
+  /// What a former owner's Yield message said about one shard.
+  struct ReceivedYield {
     SessionId m_From;
     Epoch m_Epoch;
     std::vector<KeyHash> m_InFlight;
   };
 
-  struct RowCount {
-    /// Version of the map row that was taken in.
+  struct RowState {
+    /// Version of the map row that was last processed.
     RowVersion m_Version;
+    /// Number of shards in the row that this session owns.
     std::size_t m_Owned = 0;
   };
 
-  void updateRow(const MapRow &Row, RowCount &Seen, TimePoint Now);
-  void take(const ShardRef &Shard, const ShardEntry &Entry, TimePoint Now);
-  void refresh(const ShardRef &Shard, Held &Value, const ShardEntry &Entry,
-               TimePoint Now);
-  void activate(const ShardRef &Shard, Held &Value, TimePoint Now);
-  void applyYield(const ShardRef &Shard, Held &Value, const EarlyYield &From,
-                  TimePoint Now);
+  void updateRow(const MapRow &Row, RowState &State, TimePoint Now);
+  void acquire(const ShardRef &Shard, const ShardEntry &Entry, TimePoint Now);
+  /// Activates a held shard if its former owner has ended or yielded it.
+  void advanceHandover(const ShardRef &Shard, HeldShard &Value,
+                       const ShardEntry &Entry, TimePoint Now);
+  void activate(const ShardRef &Shard, HeldShard &Value, TimePoint Now);
+  void applyYield(const ShardRef &Shard, HeldShard &Value,
+                  const ReceivedYield &Received, TimePoint Now);
+  /// \returns none while DrainThenSwitch must wait for running orders.
   std::optional<Yield::Item> makeYield(const ShardRef &Shard,
                                        const ShardEntry &Entry) const;
-  void askFormers(TimePoint Now);
+  void requestYields(TimePoint Now);
 
   CoordinationContext *m_Context;
   InFlightKeys m_InFlight;
-  /// Also shards that were given away, until the new owner has them.
-  std::unordered_map<ShardRef, Held> m_Held;
-  std::unordered_map<ShardRef, EarlyYield> m_Early;
-  std::map<std::string, RowCount> m_Rows;
+  /// The owned shards, and shards handed over to another owner until the map no
+  /// longer names this session as their former owner.
+  std::unordered_map<ShardRef, HeldShard> m_Held;
+  /// Yields that arrived before the map row that assigns the shard to this
+  /// session.
+  std::unordered_map<ShardRef, ReceivedYield> m_EarlyYields;
+  /// By map row key.
+  std::map<std::string, RowState> m_RowStates;
   std::size_t m_Owned = 0;
-  TimePoint m_AskAt = Never;
+  TimePoint m_YieldRequestAt = Never;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/plan_runner.h
+++ b/include/balsamwheel/detail/coordination/plan_runner.h
@@ -1,4 +1,4 @@
-// Writes plans into the table, when this session's turn has come.
+// Writes plans into the table when it is this session's turn.
 #pragma once
 
 #include "balsamwheel/detail/coordination/context.h"
@@ -12,45 +12,53 @@
 
 namespace balsamwheel {
 
-/// Any member may plan; the writes are conditional on the head row that the
-/// plan was made from. The order of members only keeps attempts few.
+/// Any member may write a plan, because the write is conditional on the head
+/// row that the plan was made from. The members take turns only to keep
+/// conflicting writes rare.
 class PlanRunner {
 public:
   PlanRunner(CoordinationContext &Context, HeadPoller &Poller)
       : m_Context(&Context), m_Poller(&Poller) {}
 
   void onViewChanged(TimePoint Now);
+  /// An owner reported settled shards.
   void onSettled(const std::vector<std::pair<ShardRef, Epoch>> &Shards,
                  TimePoint Now);
-  /// Reports of load came in: moves may be due.
+  /// A load report was received, so that moves may be due.
   void onLoadReported(TimePoint Now) { keepEarlier(m_EvaluateAt, Now); }
   void onTick(TimePoint Now);
   TimePoint nextWake() const;
-  /// The members in the order in which they plan.
-  std::vector<SessionId> order() const;
-  /// Supplies wishes of the load balancer.
-  std::function<std::vector<LoadMove>(TimePoint)> m_LoadMoves;
+  /// The members in the order in which their turns come.
+  std::vector<SessionId> plannerOrder() const;
+  /// Returns the moves that the load balancer requests; may be empty.
+  std::function<std::vector<LoadMove>(TimePoint)> m_TakeLoadMoves;
 
 private:
   void evaluate(TimePoint Now);
   void commit(Plan Next, TimePoint Now);
   void onCommitted(CommitResult Result, const std::vector<Row> &Rows,
                    TimePoint Now);
-  void push(const std::vector<Row> &Rows);
-  std::size_t rank() const;
-  void dropOldSettled();
+  /// Sends the committed rows to the affected sessions.
+  void pushRows(const std::vector<Row> &Rows);
+  /// Position of this session in plannerOrder().
+  std::size_t plannerRank() const;
+  /// Drops settled shards that the map already shows as settled or has assigned
+  /// again.
+  void dropStaleSettled();
 
   CoordinationContext *m_Context;
   HeadPoller *m_Poller;
   SettledShards m_Settled;
-  /// Sessions that the commit under way gives a shard to or takes one from.
-  std::set<SessionId> m_Affected;
-  std::set<ServiceName> m_Balancing;
-  bool m_Writing = false;
-  /// When work was first noticed; none while there is none.
-  std::optional<TimePoint> m_WorkSince;
+  /// Sessions that gain or lose a shard in the pending commit.
+  std::set<SessionId> m_AffectedSessions;
+  /// Services whose counts are still being balanced.
+  std::set<ServiceName> m_BalancingServices;
+  bool m_CommitPending = false;
+  /// Since when there have been changes to write; none while there are none.
+  std::optional<TimePoint> m_ChangesDueSince;
   TimePoint m_EvaluateAt = Never;
-  TimePoint m_PacedAt;
+  /// No paced moves are written before this time.
+  TimePoint m_NextPacedRound;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/coordination/planner.h
+++ b/include/balsamwheel/detail/coordination/planner.h
@@ -1,4 +1,4 @@
-// Decides what should change in the ownership map; pure.
+// Decides which changes to make in the ownership map; has no state and no I/O.
 #pragma once
 
 #include "balsamwheel/detail/coordination/cluster_view.h"
@@ -9,45 +9,49 @@
 
 namespace balsamwheel {
 
-/// A wish of the load balancer: one shard to another member.
+/// A move that the load balancer requests: one shard to another member.
 struct LoadMove {
   ShardRef m_Shard;
-  SessionId m_From;
-  SessionId m_To;
+  SessionId m_Sender;
+  SessionId m_Receiver;
 };
 
-/// Shards whose new owner has no more dealings with the former one.
+/// Shards whose handover is complete, so that the former owner can be removed
+/// from the map, with the epoch of the new owner.
 using SettledShards = std::unordered_map<ShardRef, Epoch>;
 
 struct PlanRequest {
   const ClusterView *m_View = nullptr;
   const SettledShards *m_Settled = nullptr;
   std::vector<LoadMove> m_LoadMoves;
-  /// Services whose counts are being balanced until all are at their share.
-  std::set<ServiceName> m_Balancing;
-  /// Plan also the moves between live owners, which are paced.
-  bool m_Paced = true;
+  /// Services that were being balanced in the last round; balancing goes on
+  /// until every owner has its share.
+  std::set<ServiceName> m_BalancingServices;
+  /// Also plan paced moves: those off live owners, which are limited to a few
+  /// in each round.
+  bool m_IncludePaced = true;
 };
 
 struct Plan {
-  /// Rows to write, with their new contents.
+  /// Rows to write, with their new content.
   std::vector<MapRow> m_Rows;
-  /// Shards that get another owner.
+  /// Number of shards that get another owner.
   std::size_t m_Moves = 0;
-  /// Services to go on balancing in the next round.
-  std::set<ServiceName> m_Balancing;
-  /// There are paced moves left for the next round.
-  bool m_MoreLater = false;
+  /// Services that are still being balanced after this step.
+  std::set<ServiceName> m_BalancingServices;
+  /// Paced moves remain for a later round.
+  bool m_MovesRemain = false;
 };
 
 /// Plans the next step for all services of the configuration.
 ///
-/// Shards of gone owners get heirs at once. Shards of leaving owners go in
-/// rounds that shrink geometrically; shards that balance the counts go in
-/// small rounds, only once a count is far from its share. A shard whose
-/// former owner is live and unsettled stays.
+/// Shards whose owner has ended get a new owner at once. Shards of leaving
+/// owners move in rounds, half of the remaining ones in each. Shards move to
+/// balance the counts in small rounds, and only once a count is far from its
+/// share. A shard whose handover from a live former owner is not settled does
+/// not move.
 ///
-/// Complexity: linear in the shards, times the members for those that move.
+/// Complexity: linear in the shards, times the members for shards that move.
 Plan planNextStep(const PlanRequest &Request);
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/manifest/document.h
+++ b/include/balsamwheel/detail/manifest/document.h
@@ -1,5 +1,5 @@
-// The configuration as it is stored: a JSON document, and deltas between
-// versions of it.
+// The stored format of the configuration: a JSON document, and deltas between
+// its versions.
 #pragma once
 
 #include "balsamwheel/detail/manifest/model.h"
@@ -18,44 +18,46 @@
 
 /// Reads a document that toDocument() wrote.
 ///
-/// \returns none when the document has another shape.
+/// \returns none when the document does not have the expected format.
 std::optional<Config> fromDocument(const nlohmann::json &Document);
 
-/// The row that holds the newest version and the deltas that led to it.
+/// Key of the row that holds the newest version of the configuration.
 ///
 /// Value: {"version": N, "write_id": W, "document": {...}}.
 inline const RowKey ConfigHeadRow{"config/head"};
 
-/// Prefix of the rows with single deltas: "config/delta/N" leads from version
-/// N-1 to N. Value: {"version": N, "patch": [RFC 6902 operations]}.
+/// Key prefix of the rows that hold one delta each: "config/delta/N" leads from
+/// version N-1 to N. Value: {"version": N, "patch": [RFC 6902 operations]}.
 inline constexpr char ConfigDeltaPrefix[] = "config/delta/";
 
-/// The last versions that are kept as single deltas.
+/// Number of newest versions whose deltas are kept.
 inline constexpr std::uint64_t KeptConfigDeltas = 64;
 
-/// Returns the key of the row with the delta that leads to \p Version.
+/// Key of the row with the delta that leads to \p Version.
 RowKey configDeltaRow(ConfigVersion Version);
 
-/// Builds the transaction that replaces a configuration by a newer one.
+/// Creates the transaction that replaces a configuration by a newer one.
 ///
-/// The caller adds its own condition and write for the head of all rows.
+/// The caller adds the condition on the head row and its new value, see
+/// appendHeadBump().
 ///
-/// \param Current the row ConfigHeadRow as read, version 0 if absent.
+/// \param Current the row ConfigHeadRow as read; version 0 if absent.
 /// \param Base the configuration in that row.
 /// \param Next the new configuration; its version must be Base's plus 1.
-/// \param Id goes into the written rows.
+/// \param Id the write id; stored in the row ConfigHeadRow.
 /// Complexity: linear in the size of the document.
 Transaction makeConfigCommit(const Row &Current, const Config &Base,
                              const Config &Next, WriteId Id);
 
 /// Applies a delta's RFC 6902 patch.
 ///
-/// \returns none when it does not lead from \p Base to the next version.
+/// \returns none when the patch cannot be applied or does not lead from \p Base
+/// to the next version.
 std::optional<Config> applyDelta(const Config &Base, const std::string &Patch);
 
-/// Reads the configuration from a row ConfigHeadRow.
+/// Reads the configuration from the row ConfigHeadRow.
 ///
-/// \returns none when the row is absent or has another shape.
+/// \returns none when the row is absent or does not have the expected format.
 std::optional<Config> configFromRow(const Row &HeadRow);
 
 } // namespace balsamwheel
--- a/src/coordination/cluster_view.cpp
+++ b/src/coordination/cluster_view.cpp
@@ -1,4 +1,4 @@
-// Merging of rows into the local view.
+// Merging of table rows into the local copy.
 #include "balsamwheel/detail/coordination/cluster_view.h"
 
 #include <algorithm>
@@ -32,25 +32,25 @@
   m_Head = std::move(*Next);
   Result.m_Any = true;
   for (auto &[Key, Kept] : m_Rows)
-    if (!Kept.m_Head && isCurrent(Kept.m_Row.m_Key, Kept.m_Counter))
-      Kept.m_Head = m_Head.m_Version;
+    if (!Kept.m_NamedByHead && matchesHead(Kept.m_Row.m_Key, Kept.m_Counter))
+      Kept.m_NamedByHead = m_Head.m_Version;
   m_Rows[HeadRowKey.value()] = {
-      .m_Row = Stored, .m_Counter = 0, .m_Head = m_Head.m_Version};
+      .m_Row = Stored, .m_Counter = 0, .m_NamedByHead = m_Head.m_Version};
 }
 
 void ClusterView::mergeGroup(const Row &Stored, Change &Result) {
   std::optional<GroupRow> Next = parseGroupRow(Stored);
   if (!Next || Next->m_Version.value() == 0)
     return;
-  const auto Known = m_Groups.find(Next->m_Group);
-  if (Known != m_Groups.end() && Next->m_Version <= Known->second.m_Version)
+  const auto Previous = m_Groups.find(Next->m_Group);
+  if (Previous != m_Groups.end() && Next->m_Version <= Previous->second.m_Version)
     return;
-  const bool Changed =
-      Known == m_Groups.end() || Next->m_Counter != Known->second.m_Counter;
-  keep(Stored, Next->m_Counter);
+  const bool MembersChanged =
+      Previous == m_Groups.end() || Next->m_Counter != Previous->second.m_Counter;
+  storeRow(Stored, Next->m_Counter);
   Result.m_Any = true;
-  Result.m_Members = Result.m_Members || Changed;
-  if (Changed)
+  Result.m_Members = Result.m_Members || MembersChanged;
+  if (MembersChanged)
     indexGroup(*Next);
   m_Groups[Next->m_Group] = std::move(*Next);
 }
@@ -64,19 +64,19 @@
     Parts.resize(Next->m_Part + 1);
   if (Next->m_Version <= Parts[Next->m_Part].m_Version)
     return;
-  keep(Stored, Next->m_Counter);
+  storeRow(Stored, Next->m_Counter);
   Result.m_Any = true;
   Result.m_MapRows.push_back(Stored.m_Key);
   Parts[Next->m_Part] = std::move(*Next);
 }
 
-void ClusterView::keep(const Row &Stored, std::uint64_t Counter) {
+void ClusterView::storeRow(const Row &Stored, std::uint64_t Counter) {
   StoredRow &Kept = m_Rows[Stored.m_Key.value()];
   if (Counter != Kept.m_Counter || Kept.m_Row.m_Version.value() == 0) {
     Kept.m_Counter = Counter;
-    Kept.m_Head.reset();
-    if (isCurrent(Stored.m_Key, Counter))
-      Kept.m_Head = m_Head.m_Version;
+    Kept.m_NamedByHead.reset();
+    if (matchesHead(Stored.m_Key, Counter))
+      Kept.m_NamedByHead = m_Head.m_Version;
   }
   Kept.m_Row = Stored;
 }
@@ -87,21 +87,21 @@
   });
   for (const GroupMember &Value : Group.m_Members)
     m_Members[Value.m_Member.m_Session] = {Group.m_Group, Value.m_Member};
-  // A session that this group lost may stand in another one.
+  // A session that this group no longer lists may be listed in another group.
   for (const auto &[Other, Row] : m_Groups)
     if (Other != Group.m_Group)
       for (const GroupMember &Value : Row.m_Members)
         m_Members.try_emplace(Value.m_Member.m_Session, Other, Value.m_Member);
 }
 
-bool ClusterView::isCurrent(const RowKey &Key, std::uint64_t Counter) const {
+bool ClusterView::matchesHead(const RowKey &Key, std::uint64_t Counter) const {
   return m_Head.counter(Key) == Counter;
 }
 
 void ClusterView::updateComplete() {
   m_Complete = staleRows().empty();
   for (const auto &[Key, Kept] : m_Rows)
-    if (isMapRowKey(Kept.m_Row.m_Key) && !Kept.m_Head)
+    if (isMapRowKey(Kept.m_Row.m_Key) && !Kept.m_NamedByHead)
       m_Complete = false;
   if (m_Complete)
     m_CompleteHead = m_Head.m_Version;
@@ -131,7 +131,7 @@
 std::vector<Row> ClusterView::rowsSince(RowVersion Head) const {
   std::vector<Row> Result;
   for (const auto &[Key, Kept] : m_Rows)
-    if (!Kept.m_Head || *Kept.m_Head > Head)
+    if (!Kept.m_NamedByHead || *Kept.m_NamedByHead > Head)
       Result.push_back(Kept.m_Row);
   std::ranges::copy(m_Config.rowsSince(Head), std::back_inserter(Result));
   return Result;
@@ -166,9 +166,9 @@
 }
 
 const std::vector<MapRow> &ClusterView::map(const ServiceName &Service) const {
-  static const std::vector<MapRow> None;
+  static const std::vector<MapRow> NoRows;
   const auto Found = m_Maps.find(Service);
-  return Found == m_Maps.end() ? None : Found->second;
+  return Found == m_Maps.end() ? NoRows : Found->second;
 }
 
 const ShardEntry *ClusterView::findEntry(const ShardRef &Shard) const {
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -1,4 +1,5 @@
-// Joins membership, ownership, planning and configuration into one machine.
+// Combines membership, ownership, planning and load reports into one state
+// machine.
 #include "balsamwheel/detail/coordination/coordinator.h"
 
 #include "balsamwheel/detail/coordination/context.h"
@@ -16,16 +17,18 @@
 
 namespace {
 
-constexpr Duration ReportPeriod = std::chrono::milliseconds(400);
-/// Reports that changed nothing go to the next planner in order.
+/// Settled shards are reported again after this time while the map still names
+/// their former owners.
+constexpr Duration SettledReportPeriod = std::chrono::milliseconds(400);
+/// After this many reports without effect, the next planner in order gets them.
 constexpr std::size_t ReportsPerPlanner = 4;
-/// After this time without heirs a shutdown keeps its shards no longer.
-constexpr Duration HeirTimeout = std::chrono::seconds(4);
-
-/// A shutdown waits at least so long, for the others to learn of it.
-constexpr Duration LeaveDelay = std::chrono::seconds(1);
-
-constexpr Duration PendingRetry = std::chrono::milliseconds(20);
+/// A shutdown that finds no new owners for its shards gives up waiting after
+/// this time.
+constexpr Duration NewOwnerTimeout = std::chrono::seconds(4);
+/// A shutdown takes at least this long, so that other members learn of it.
+constexpr Duration MinLeaveDelay = std::chrono::seconds(1);
+/// When to ask again for a shard or key whose handover is pending.
+constexpr Duration HandoverRetryAfter = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -34,15 +37,15 @@
   Impl(CoordinatorOptions Options, std::uint64_t Seed)
       : m_Context(std::move(Options), Seed), m_Membership(m_Context),
         m_Ownership(m_Context), m_Planner(m_Context, m_Membership.poller()),
-        m_Load(m_Context, m_Planner) {
+        m_LoadReporter(m_Context, m_Planner) {
     m_Membership.m_OnNewSession = [this] {
       m_Ownership.reset();
-      m_Load.clear();
+      m_LoadReporter.clear();
     };
   }
 
   void start(TimePoint Now) {
-    m_Load.start(Now);
+    m_LoadReporter.start(Now);
     m_Membership.start(Now);
     dispatchChanges(Now);
   }
@@ -53,9 +56,9 @@
     dispatchChanges(Now);
     m_Ownership.onTick(Now);
     m_Planner.onTick(Now);
-    if (Now >= m_ReportAt)
-      report(Now);
-    m_Load.onTick(Now);
+    if (Now >= m_SettledReportAt)
+      reportSettled(Now);
+    m_LoadReporter.onTick(Now);
     if (m_ShutdownAt != Never)
       continueShutdown(Now);
     dispatchChanges(Now);
@@ -65,8 +68,8 @@
     TimePoint Wake = m_Membership.nextWake();
     keepEarlier(Wake, m_Ownership.nextWake());
     keepEarlier(Wake, m_Planner.nextWake());
-    keepEarlier(Wake, m_ReportAt);
-    keepEarlier(Wake, m_Load.nextWake());
+    keepEarlier(Wake, m_SettledReportAt);
+    keepEarlier(Wake, m_LoadReporter.nextWake());
     return Wake;
   }
 
@@ -99,7 +102,7 @@
     if (m_ShutdownAt != Never)
       return;
     m_ShutdownAt = Now;
-    m_ReportAt = Now;
+    m_SettledReportAt = Now;
     updateLeaving(Now);
   }
 
@@ -114,7 +117,7 @@
     const balsamwheel::Service *Config = findService(Service);
     if (!Config)
       return refuse(Reason::UnknownService);
-    if (Now >= m_NoNewWorkAt)
+    if (Now >= m_RefuseWorkAt)
       return refuse(m_LeaveReason);
     if (Config->m_DividedByKey) {
       if (Shards == 0)
@@ -125,7 +128,7 @@
       if (Check.m_Reason != Reason::None) {
         Result.m_Reason = Check.m_Reason;
         if (Check.m_Reason == Reason::HandoverPending)
-          Result.m_RetryAfter = PendingRetry;
+          Result.m_RetryAfter = HandoverRetryAfter;
         return Result;
       }
     } else if (Service != m_Service) {
@@ -181,8 +184,8 @@
             .m_Group = m_Membership.group(),
             .m_Leader = m_Membership.isLeader(Now),
             .m_Members = m_Context.m_View.memberCount(),
-            .m_ShardsOwned = m_Ownership.owned(),
-            .m_ShardsPending = m_Ownership.pending()};
+            .m_ShardsOwned = m_Ownership.ownedCount(),
+            .m_ShardsPending = m_Ownership.pendingCount()};
   }
 
   Effects takeEffects() { return std::exchange(m_Context.m_Effects, {}); }
@@ -191,12 +194,12 @@
   Membership m_Membership;
   Ownership m_Ownership;
   PlanRunner m_Planner;
-  LoadReporter m_Load;
+  LoadReporter m_LoadReporter;
 
 private:
-  static Permit refuse(Reason Why) {
+  static Permit refuse(Reason Cause) {
     Permit Result;
-    Result.m_Reason = Why;
+    Result.m_Reason = Cause;
     return Result;
   }
 
@@ -240,7 +243,7 @@
   void handle(const Yield &Message, const PeerAddress & /*From*/,
               TimePoint Now) {
     m_Ownership.onYield(Message, Now);
-    keepEarlier(m_ReportAt, Now);
+    keepEarlier(m_SettledReportAt, Now);
   }
   void handle(const YieldRequest &Message, const PeerAddress &From,
               TimePoint /*Now*/) {
@@ -251,16 +254,16 @@
   void handle(const KeyFinished &Message, const PeerAddress & /*From*/,
               TimePoint Now) {
     m_Ownership.onKeyFinished(Message);
-    keepEarlier(m_ReportAt, Now);
+    keepEarlier(m_SettledReportAt, Now);
   }
   void handle(const OwnerReport &Message, const PeerAddress & /*From*/,
               TimePoint Now) {
     m_Planner.onSettled(Message.m_Settled, Now);
     if (Message.m_Settled.empty())
-      m_Load.onReport(Message, Now);
+      m_LoadReporter.onReport(Message, Now);
   }
 
-  /// Passes changes of the view on to the parts until there are none.
+  /// Notifies the components of view changes until none of them causes another.
   void dispatchChanges(TimePoint Now) {
     while (m_Context.m_Changed.m_Any) {
       m_Membership.onViewChanged(Now);
@@ -268,18 +271,18 @@
       m_Planner.onViewChanged(Now);
       m_Context.m_Changed = {};
       updateLeaving(Now);
-      keepEarlier(m_ReportAt, Now + ReportPeriod);
+      keepEarlier(m_SettledReportAt, Now + SettledReportPeriod);
     }
   }
 
   void updateLeaving(TimePoint Now) {
-    const Reason Why = leaveReason();
+    const Reason Cause = leaveReason();
     m_Membership.setLeaving(m_TargetLeaving || m_ShutdownAt != Never, Now);
-    if (Why == Reason::None)
-      m_NoNewWorkAt = Never;
-    else if (m_NoNewWorkAt == Never)
-      m_NoNewWorkAt = Now + m_Context.m_Options.m_Timing.m_DomainOutGrace;
-    m_LeaveReason = Why;
+    if (Cause == Reason::None)
+      m_RefuseWorkAt = Never;
+    else if (m_RefuseWorkAt == Never)
+      m_RefuseWorkAt = Now + m_Context.m_Options.m_Timing.m_DomainOutGrace;
+    m_LeaveReason = Cause;
   }
 
   Reason leaveReason() const {
@@ -296,32 +299,34 @@
     return Reason::None;
   }
 
-  void report(TimePoint Now) {
-    m_ReportAt = m_ShutdownAt == Never ? Never : Now + ReportPeriod;
+  void reportSettled(TimePoint Now) {
+    m_SettledReportAt = m_ShutdownAt == Never ? Never : Now + SettledReportPeriod;
     OwnerReport Message;
     Message.m_From = m_Context.m_Session;
     Message.m_Settled = m_Ownership.settled();
     if (Message.m_Settled.empty()) {
-      m_Reports = 0;
+      m_SettledReports = 0;
       return;
     }
-    m_ReportAt = Now + ReportPeriod;
-    const std::vector<SessionId> Order = m_Planner.order();
-    if (Order.empty())
+    m_SettledReportAt = Now + SettledReportPeriod;
+    const std::vector<SessionId> Planners = m_Planner.plannerOrder();
+    if (Planners.empty())
       return;
-    const SessionId To = Order[m_Reports++ / ReportsPerPlanner % Order.size()];
-    if (To == m_Context.m_Session)
+    const SessionId Receiver =
+        Planners[m_SettledReports++ / ReportsPerPlanner % Planners.size()];
+    if (Receiver == m_Context.m_Session)
       m_Planner.onSettled(Message.m_Settled, Now);
     else
-      m_Context.sendTo(To, std::move(Message));
+      m_Context.sendTo(Receiver, std::move(Message));
   }
 
-  /// Leaves the group once no shard and no order is left, or no heir came.
+  /// Leaves the group once no order runs and every shard is handed over, or no
+  /// new owner was found in time.
   void continueShutdown(TimePoint Now) {
-    const bool NoHeirs = Now - m_ShutdownAt >= HeirTimeout;
-    if (Now - m_ShutdownAt < LeaveDelay)
+    const bool TimedOut = Now - m_ShutdownAt >= NewOwnerTimeout;
+    if (Now - m_ShutdownAt < MinLeaveDelay)
       return;
-    if (m_Ownership.hasOrders() || (m_Ownership.ownsAny() && !NoHeirs))
+    if (m_Ownership.hasOrders() || (m_Ownership.ownsAny() && !TimedOut))
       return;
     m_Membership.leave(Now);
   }
@@ -329,10 +334,11 @@
   ServiceName m_Service;
   bool m_TargetLeaving = false;
   TimePoint m_ShutdownAt = Never;
-  TimePoint m_ReportAt = Never;
-  std::size_t m_Reports = 0;
-  /// From then on no new work is accepted.
-  TimePoint m_NoNewWorkAt = Never;
+  TimePoint m_SettledReportAt = Never;
+  /// Reports of settled shards sent since there was last nothing to report.
+  std::size_t m_SettledReports = 0;
+  /// New work is refused from this time on.
+  TimePoint m_RefuseWorkAt = Never;
   Reason m_LeaveReason = Reason::None;
 };
 
@@ -372,7 +378,7 @@
 void Coordinator::orderStarted(const ShardRef &Shard, KeyHash Key,
                                Epoch /*Current*/) {
   m_Impl->m_Ownership.orderStarted(Shard, Key);
-  m_Impl->m_Load.count(Shard);
+  m_Impl->m_LoadReporter.countOrder(Shard);
 }
 
 void Coordinator::orderFinished(const ShardRef &Shard, KeyHash Key,
--- a/src/coordination/document.cpp
+++ b/src/coordination/document.cpp
@@ -1,4 +1,5 @@
-// The stored form of the configuration and the deltas between versions.
+// The stored format of the configuration and of the deltas between its
+// versions.
 #include "balsamwheel/detail/manifest/document.h"
 
 #include <array>
@@ -102,7 +103,7 @@
   return Result;
 }
 
-std::optional<Json> parse(const std::string &Text) {
+std::optional<Json> parseJson(const std::string &Text) {
   Json Result = Json::parse(Text, nullptr, /*allow_exceptions=*/false);
   if (Result.is_discarded())
     return std::nullopt;
@@ -161,7 +162,7 @@
 }
 
 std::optional<Config> applyDelta(const Config &Base, const std::string &Patch) {
-  const std::optional<Json> Delta = parse(Patch);
+  const std::optional<Json> Delta = parseJson(Patch);
   if (!Delta)
     return std::nullopt;
   try {
@@ -176,7 +177,7 @@
 std::optional<Config> configFromRow(const Row &HeadRow) {
   if (HeadRow.m_Version.value() == 0)
     return std::nullopt;
-  const std::optional<Json> Value = parse(HeadRow.m_Value);
+  const std::optional<Json> Value = parseJson(HeadRow.m_Value);
   if (!Value || !Value->is_object() || !Value->contains("document"))
     return std::nullopt;
   return fromDocument(Value->at("document"));
--- a/src/coordination/in_flight.cpp
+++ b/src/coordination/in_flight.cpp
@@ -1,4 +1,4 @@
-// Orders that run at the local target.
+// Counts of the orders that run at the local target.
 #include "balsamwheel/detail/coordination/in_flight.h"
 
 namespace balsamwheel {
--- a/src/coordination/load_balancer.cpp
+++ b/src/coordination/load_balancer.cpp
@@ -7,30 +7,37 @@
 
 namespace {
 
-/// Peak over mean that starts moves, below the bound of 1.25.
-constexpr double PeakLimit = 1.20;
-/// A move must lower the peak by this share of the mean.
-constexpr double LeastGain = 0.10;
-/// Less load than this in requests a second is noise.
-constexpr double LeastMean = 5;
-/// The load must be uneven for so long before the first move.
-constexpr Duration Patience = std::chrono::seconds(4);
-/// Rates follow a move only after this time.
+/// Shards are moved when the highest load of an owner exceeds the mean load by
+/// this factor. Below the required bound of 1.25.
+constexpr double MaxPeakToMean = 1.20;
+/// A move must lower the highest load by at least this fraction of the mean.
+constexpr double MinPeakReduction = 0.10;
+/// A mean load below this, in requests per second, is treated as noise.
+constexpr double MinMeanRate = 5;
+/// The load must be imbalanced for this long before the first move.
+constexpr Duration MinImbalanceTime = std::chrono::seconds(4);
+/// No further moves within this time, because the reported rates reflect a move
+/// only after it.
 constexpr Duration Cooldown = std::chrono::seconds(6);
+/// The bound on the number of moves applies to any period of this length.
 constexpr Duration BudgetPeriod = std::chrono::seconds(60);
-constexpr std::size_t MostMovesAtOnce = 4;
+constexpr std::size_t MaxMovesPerRound = 4;
 
-/// The hot shard whose move lowers the peak most, if that is enough.
+/// The shard whose move from the most to the least loaded owner leaves the
+/// lowest maximum of the two; null if no move lowers it by more than
+/// MinReduction.
 const OwnerReport::Load *bestShard(const std::vector<OwnerReport::Load> &Shards,
-                                   double Peak, double Least, double Gain) {
+                                   double HighestRate, double LowestRate,
+                                   double MinReduction) {
   const OwnerReport::Load *Best = nullptr;
-  double BestPeak = Peak - Gain;
+  double BestPeak = HighestRate - MinReduction;
   for (const OwnerReport::Load &Shard : Shards) {
-    const double Next = std::max(Peak - Shard.m_Rate, Least + Shard.m_Rate);
-    if (Next >= BestPeak)
+    const double NewPeak =
+        std::max(HighestRate - Shard.m_Rate, LowestRate + Shard.m_Rate);
+    if (NewPeak >= BestPeak)
       continue;
     Best = &Shard;
-    BestPeak = Next;
+    BestPeak = NewPeak;
   }
   return Best;
 }
@@ -38,7 +45,7 @@
 } // namespace
 
 void LoadBalancer::onReport(const OwnerReport &Report, TimePoint Now) {
-  m_Reports[Report.m_From] = {.m_Report = Report, .m_At = Now};
+  m_Reports[Report.m_From] = {.m_Report = Report, .m_ReceivedAt = Now};
 }
 
 std::vector<LoadBalancer::Owner>
@@ -51,7 +58,7 @@
       if (Value.m_Service != Service || View.isLeaving(Value))
         continue;
       const auto Report = m_Reports.find(Value.m_Session);
-      if (Report == m_Reports.end() || Now - Report->second.m_At > MaxAge)
+      if (Report == m_Reports.end() || Now - Report->second.m_ReceivedAt > MaxAge)
         return {};
       Result.push_back({.m_Session = Value.m_Session,
                         .m_Rate = Report->second.m_Report.m_TotalRate,
@@ -80,44 +87,44 @@
                                const ServiceName &Service,
                                std::vector<Owner> Owners, TimePoint Now,
                                std::vector<LoadMove> &Result) {
-  Budget &Spent = m_Budgets[Service];
-  std::erase_if(Spent.m_Moves,
-                [Now](TimePoint At) { return Now - At >= BudgetPeriod; });
+  ServiceState &State = m_ServiceStates[Service];
+  std::erase_if(State.m_MoveTimes,
+                [Now](TimePoint Moved) { return Now - Moved >= BudgetPeriod; });
   if (Owners.size() < 2)
     return;
   double Mean = 0;
   for (const Owner &Value : Owners)
     Mean += Value.m_Rate / static_cast<double>(Owners.size());
   const auto Peak = std::ranges::max_element(Owners, {}, &Owner::m_Rate);
-  if (Mean < LeastMean || Peak->m_Rate <= PeakLimit * Mean) {
-    Spent.m_UnevenSince.reset();
+  if (Mean < MinMeanRate || Peak->m_Rate <= MaxPeakToMean * Mean) {
+    State.m_ImbalancedSince.reset();
     return;
   }
-  if (!Spent.m_UnevenSince)
-    Spent.m_UnevenSince = Now;
-  if (Now - *Spent.m_UnevenSince < Patience || Now < Spent.m_NotBefore)
+  if (!State.m_ImbalancedSince)
+    State.m_ImbalancedSince = Now;
+  if (Now - *State.m_ImbalancedSince < MinImbalanceTime || Now < State.m_CooldownEnd)
     return;
-  const std::size_t PerMinute =
+  const std::size_t MovesPerPeriod =
       std::max<std::size_t>(1, View.shardCount(Service) / 100);
   for (std::size_t Moves = 0;
-       Moves < MostMovesAtOnce && Spent.m_Moves.size() < PerMinute; ++Moves) {
-    const auto From = std::ranges::max_element(Owners, {}, &Owner::m_Rate);
-    const auto To = std::ranges::min_element(Owners, {}, &Owner::m_Rate);
+       Moves < MaxMovesPerRound && State.m_MoveTimes.size() < MovesPerPeriod; ++Moves) {
+    const auto Sender = std::ranges::max_element(Owners, {}, &Owner::m_Rate);
+    const auto Receiver = std::ranges::min_element(Owners, {}, &Owner::m_Rate);
     const OwnerReport::Load *Shard =
-        bestShard(From->m_Hottest, From->m_Rate, To->m_Rate, LeastGain * Mean);
-    if (!Shard || From->m_Rate <= PeakLimit * Mean)
+        bestShard(Sender->m_Hottest, Sender->m_Rate, Receiver->m_Rate, MinPeakReduction * Mean);
+    if (!Shard || Sender->m_Rate <= MaxPeakToMean * Mean)
       break;
     const OwnerReport::Load Moved = *Shard;
     Result.push_back({.m_Shard = Moved.m_Shard,
-                      .m_From = From->m_Session,
-                      .m_To = To->m_Session});
-    From->m_Rate -= Moved.m_Rate;
-    To->m_Rate += Moved.m_Rate;
-    std::erase_if(From->m_Hottest, [&Moved](const OwnerReport::Load &Value) {
+                      .m_Sender = Sender->m_Session,
+                      .m_Receiver = Receiver->m_Session});
+    Sender->m_Rate -= Moved.m_Rate;
+    Receiver->m_Rate += Moved.m_Rate;
+    std::erase_if(Sender->m_Hottest, [&Moved](const OwnerReport::Load &Value) {
       return Value.m_Shard == Moved.m_Shard;
     });
-    Spent.m_Moves.push_back(Now);
-    Spent.m_NotBefore = Now + Cooldown;
+    State.m_MoveTimes.push_back(Now);
+    State.m_CooldownEnd = Now + Cooldown;
   }
 }
 
--- a/src/coordination/load_reporter.cpp
+++ b/src/coordination/load_reporter.cpp
@@ -1,4 +1,4 @@
-// Load reports to the first planner in order.
+// Load reports are sent to the first planner in order.
 #include "balsamwheel/detail/coordination/load_reporter.h"
 
 #include <algorithm>
@@ -7,29 +7,31 @@
 
 namespace {
 
-/// Load is reported in this period, or less often in a large cluster: the
-/// planner receives all reports.
-constexpr Duration LeastPeriod = std::chrono::seconds(2);
-constexpr Duration PeriodPerMember = std::chrono::milliseconds(50);
-constexpr std::size_t ReportedShards = 8;
+/// Shortest time between two load reports of a session. In a large cluster the
+/// period is longer, because one planner receives the reports of all sessions.
+constexpr Duration MinReportPeriod = std::chrono::seconds(2);
+/// The report period is at least this time multiplied by the number of members.
+constexpr Duration ReportPeriodPerMember = std::chrono::milliseconds(50);
+/// Maximum number of shards listed in a report.
+constexpr std::size_t MaxReportedShards = 8;
 
 } // namespace
 
 LoadReporter::LoadReporter(CoordinationContext &Context, PlanRunner &Planner)
     : m_Context(&Context), m_Planner(&Planner) {
-  Planner.m_LoadMoves = [this](TimePoint Now) {
+  Planner.m_TakeLoadMoves = [this](TimePoint Now) {
     return m_Balancer.takeMoves(m_Context->m_View, 2 * period(), Now);
   };
 }
 
 void LoadReporter::start(TimePoint Now) {
   m_Tracker.endPeriod(Now);
-  m_ReportAt = Now + LeastPeriod;
+  m_ReportAt = Now + MinReportPeriod;
 }
 
 Duration LoadReporter::period() const {
   const auto Members = static_cast<int>(m_Context->m_View.memberCount());
-  return std::max(LeastPeriod, PeriodPerMember * Members);
+  return std::max(MinReportPeriod, ReportPeriodPerMember * Members);
 }
 
 void LoadReporter::onReport(const OwnerReport &Message, TimePoint Now) {
@@ -42,17 +44,17 @@
     return;
   m_ReportAt = Now + period();
   m_Tracker.endPeriod(Now);
-  const std::vector<SessionId> Order = m_Planner->order();
-  if (Order.empty() || !m_Context->m_View.isLive(m_Context->m_Session))
+  const std::vector<SessionId> Planners = m_Planner->plannerOrder();
+  if (Planners.empty() || !m_Context->m_View.isLive(m_Context->m_Session))
     return;
   OwnerReport Message;
   Message.m_From = m_Context->m_Session;
-  Message.m_Hottest = m_Tracker.hottest(ReportedShards);
-  Message.m_TotalRate = m_Tracker.total();
-  if (Order.front() == m_Context->m_Session)
+  Message.m_Hottest = m_Tracker.hottest(MaxReportedShards);
+  Message.m_TotalRate = m_Tracker.totalRate();
+  if (Planners.front() == m_Context->m_Session)
     onReport(Message, Now);
   else
-    m_Context->sendTo(Order.front(), std::move(Message));
+    m_Context->sendTo(Planners.front(), std::move(Message));
 }
 
 } // namespace balsamwheel
--- a/src/coordination/map_row.cpp
+++ b/src/coordination/map_row.cpp
@@ -1,4 +1,5 @@
-// A map row's JSON form: sessions are listed once and named by index.
+// The JSON format of a map row. Each session is listed once; entries refer to
+// it by index.
 #include "balsamwheel/detail/coordination/map_row.h"
 
 #include <nlohmann/json.hpp>
@@ -14,11 +15,11 @@
 using Json = nlohmann::json;
 
 /// Numbers the sessions of a row in the order of their first use.
-class SessionList {
+class SessionIndex {
 public:
   std::size_t indexOf(SessionId Session) {
-    const auto [Found, New] = m_Index.emplace(Session, m_Index.size());
-    if (New)
+    const auto [Found, Inserted] = m_Index.emplace(Session, m_Index.size());
+    if (Inserted)
       m_Sessions.push_back(Session.value());
     return Found->second;
   }
@@ -37,21 +38,21 @@
     return false;
   Result.m_Service = ServiceName(Text.substr(Begin, Slash - Begin));
   const char *End = Text.data() + Text.size();
-  const auto [Rest, Error] =
+  const auto [ParsedEnd, Error] =
       std::from_chars(Text.data() + Slash + 1, End, Result.m_Part);
-  return Error == std::errc() && Rest == End;
+  return Error == std::errc() && ParsedEnd == End;
 }
 
 void parseEntries(const Json &Value, MapRow &Result) {
   const auto Sessions = Value.at("sessions").get<std::vector<std::uint64_t>>();
-  for (const Json &Triple : Value.at("shards"))
+  for (const Json &Fields : Value.at("shards"))
     Result.m_Entries.push_back(
-        {.m_Owner = SessionId(Sessions.at(Triple.at(0).get<std::size_t>())),
-         .m_Epoch = Epoch(Triple.at(1).get<std::uint64_t>()),
+        {.m_Owner = SessionId(Sessions.at(Fields.at(0).get<std::size_t>())),
+         .m_Epoch = Epoch(Fields.at(1).get<std::uint64_t>()),
          .m_Former =
-             Triple.size() < 3
+             Fields.size() < 3
                  ? SessionId()
-                 : SessionId(Sessions.at(Triple.at(2).get<std::size_t>()))});
+                 : SessionId(Sessions.at(Fields.at(2).get<std::size_t>()))});
 }
 
 } // namespace
@@ -65,13 +66,13 @@
 }
 
 std::string toValue(const MapRow &Map, WriteId Id) {
-  SessionList Sessions;
+  SessionIndex Sessions;
   Json Shards = Json::array();
   for (const ShardEntry &Entry : Map.m_Entries) {
-    Json Triple = {Sessions.indexOf(Entry.m_Owner), Entry.m_Epoch.value()};
+    Json Fields = {Sessions.indexOf(Entry.m_Owner), Entry.m_Epoch.value()};
     if (Entry.m_Former.value() != 0)
-      Triple.push_back(Sessions.indexOf(Entry.m_Former));
-    Shards.push_back(std::move(Triple));
+      Fields.push_back(Sessions.indexOf(Entry.m_Former));
+    Shards.push_back(std::move(Fields));
   }
   return Json{{"write_id", Id.value()},
               {"counter", Map.m_Counter},
@@ -103,8 +104,8 @@
   Result.m_Service = Service;
   Result.m_Part = Part;
   Result.m_ShardCount = ShardCount;
-  const std::uint32_t Rest = ShardCount - Part * ShardsPerRow;
-  Result.m_Entries.resize(std::min(Rest, ShardsPerRow));
+  const std::uint32_t Remaining = ShardCount - Part * ShardsPerRow;
+  Result.m_Entries.resize(std::min(Remaining, ShardsPerRow));
   return Result;
 }
 
--- a/src/coordination/ownership.cpp
+++ b/src/coordination/ownership.cpp
@@ -1,4 +1,4 @@
-// The shards of this session and their handover.
+// The shards that this session owns and their handover.
 #include "balsamwheel/detail/coordination/ownership.h"
 
 #include "balsamwheel/detail/core/safety_rules.h"
@@ -9,40 +9,41 @@
 
 namespace {
 
-/// An unanswered request for a yield is repeated after this time.
-constexpr Duration AskPeriod = std::chrono::milliseconds(150);
+/// A yield request that was not answered is repeated after this time.
+constexpr Duration YieldRetryPeriod = std::chrono::milliseconds(150);
 
 } // namespace
 
 void Ownership::update(TimePoint Now) {
   for (const auto &[Service, Rows] : m_Context->m_View.maps())
     for (const MapRow &Row : Rows) {
-      RowCount &Seen = m_Rows[mapRowKey(Row.m_Service, Row.m_Part).value()];
-      if (Row.m_Version > Seen.m_Version)
-        updateRow(Row, Seen, Now);
+      RowState &State =
+          m_RowStates[mapRowKey(Row.m_Service, Row.m_Part).value()];
+      if (Row.m_Version > State.m_Version)
+        updateRow(Row, State, Now);
     }
   for (auto &[Shard, Value] : m_Held) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
     if (Entry && Entry->m_Owner == m_Context->m_Session &&
         Entry->m_Epoch == Value.m_Epoch)
-      refresh(Shard, Value, *Entry, Now);
+      advanceHandover(Shard, Value, *Entry, Now);
   }
-  if (m_AskAt == Never && pending() + waiting() > 0)
-    askFormers(Now);
+  if (m_YieldRequestAt == Never && pendingCount() + resolvingCount() > 0)
+    requestYields(Now);
 }
 
-void Ownership::updateRow(const MapRow &Row, RowCount &Seen, TimePoint Now) {
+void Ownership::updateRow(const MapRow &Row, RowState &State, TimePoint Now) {
   const SessionId Self = m_Context->m_Session;
   std::map<SessionId, std::vector<Yield::Item>> Yields;
-  m_Owned -= Seen.m_Owned;
-  Seen = {.m_Version = Row.m_Version, .m_Owned = 0};
+  m_Owned -= State.m_Owned;
+  State = {.m_Version = Row.m_Version, .m_Owned = 0};
   for (std::uint32_t Index = 0; Index < Row.m_Entries.size(); ++Index) {
     const ShardEntry &Entry = Row.m_Entries[Index];
     const ShardRef Shard{Row.m_Service,
                          ShardIndex(Row.m_Part * ShardsPerRow + Index)};
     if (Entry.m_Owner == Self) {
-      ++Seen.m_Owned;
-      take(Shard, Entry, Now);
+      ++State.m_Owned;
+      acquire(Shard, Entry, Now);
     } else if (Entry.m_Former == Self) {
       if (std::optional<Yield::Item> Item = makeYield(Shard, Entry))
         Yields[Entry.m_Owner].push_back(std::move(*Item));
@@ -50,44 +51,44 @@
       m_Held.erase(Shard);
     }
   }
-  m_Owned += Seen.m_Owned;
-  for (auto &[To, Items] : Yields)
-    m_Context->sendTo(To, Yield{Self, To, std::move(Items)});
+  m_Owned += State.m_Owned;
+  for (auto &[NewOwner, Items] : Yields)
+    m_Context->sendTo(NewOwner, Yield{Self, NewOwner, std::move(Items)});
 }
 
-void Ownership::take(const ShardRef &Shard, const ShardEntry &Entry,
+void Ownership::acquire(const ShardRef &Shard, const ShardEntry &Entry,
                      TimePoint Now) {
-  const auto Known = m_Held.find(Shard);
-  if (Known != m_Held.end() && Known->second.m_Epoch == Entry.m_Epoch)
+  const auto Found = m_Held.find(Shard);
+  if (Found != m_Held.end() && Found->second.m_Epoch == Entry.m_Epoch)
     return;
-  Held Value;
+  HeldShard Value;
   Value.m_Epoch = Entry.m_Epoch;
   Value.m_Former = Entry.m_Former;
-  refresh(Shard, Value, Entry, Now);
+  advanceHandover(Shard, Value, Entry, Now);
   m_Held[Shard] = std::move(Value);
 }
 
-void Ownership::refresh(const ShardRef &Shard, Held &Value,
+void Ownership::advanceHandover(const ShardRef &Shard, HeldShard &Value,
                         const ShardEntry &Entry, TimePoint Now) {
   if (Value.m_Active && Value.m_Resolved)
     return;
-  const bool NoFormer = Entry.m_Former.value() == 0;
-  if (NoFormer || m_Context->m_View.isGone(Entry.m_Former)) {
-    Value.m_Waiting.clear();
+  const bool NoFormerOwner = Entry.m_Former.value() == 0;
+  if (NoFormerOwner || m_Context->m_View.isGone(Entry.m_Former)) {
+    Value.m_WaitingKeys.clear();
     Value.m_Resolved = true;
     activate(Shard, Value, Now);
     return;
   }
-  const auto Early = m_Early.find(Shard);
-  if (Early != m_Early.end()) {
-    applyYield(Shard, Value, Early->second, Now);
-    m_Early.erase(Early);
+  const auto EarlyYield = m_EarlyYields.find(Shard);
+  if (EarlyYield != m_EarlyYields.end()) {
+    applyYield(Shard, Value, EarlyYield->second, Now);
+    m_EarlyYields.erase(EarlyYield);
   }
   if (!enforced<Rule::YieldWait>())
     activate(Shard, Value, Now);
 }
 
-void Ownership::activate(const ShardRef &Shard, Held &Value, TimePoint Now) {
+void Ownership::activate(const ShardRef &Shard, HeldShard &Value, TimePoint Now) {
   if (Value.m_Active)
     return;
   Value.m_Active = true;
@@ -95,27 +96,27 @@
   m_Context->m_Effects.push_back(GrantTarget{Shard, Value.m_Epoch});
 }
 
-void Ownership::applyYield(const ShardRef &Shard, Held &Value,
-                           const EarlyYield &From, TimePoint Now) {
-  if (From.m_Epoch != Value.m_Epoch || From.m_From != Value.m_Former ||
+void Ownership::applyYield(const ShardRef &Shard, HeldShard &Value,
+                           const ReceivedYield &Received, TimePoint Now) {
+  if (Received.m_Epoch != Value.m_Epoch || Received.m_From != Value.m_Former ||
       Value.m_Resolved)
     return;
-  std::unordered_set<KeyHash> Keys(From.m_InFlight.begin(),
-                                   From.m_InFlight.end());
+  std::unordered_set<KeyHash> Keys(Received.m_InFlight.begin(),
+                                   Received.m_InFlight.end());
   if (Value.m_Active)
-    std::erase_if(Value.m_Waiting,
+    std::erase_if(Value.m_WaitingKeys,
                   [&Keys](KeyHash Key) { return !Keys.contains(Key); });
   else
-    Value.m_Waiting = std::move(Keys);
-  Value.m_Resolved = Value.m_Waiting.empty();
+    Value.m_WaitingKeys = std::move(Keys);
+  Value.m_Resolved = Value.m_WaitingKeys.empty();
   activate(Shard, Value, Now);
 }
 
 std::optional<Yield::Item> Ownership::makeYield(const ShardRef &Shard,
                                                 const ShardEntry &Entry) const {
-  const bool Drain =
+  const bool DrainFirst =
       m_Context->m_Options.m_Handover == HandoverMode::DrainThenSwitch;
-  if (Drain && !m_InFlight.empty(Shard))
+  if (DrainFirst && !m_InFlight.empty(Shard))
     return std::nullopt;
   Yield::Item Item;
   Item.m_Shard = Shard;
@@ -128,43 +129,43 @@
   if (Message.m_To != m_Context->m_Session)
     return;
   for (const Yield::Item &Item : Message.m_Items) {
-    const EarlyYield From{.m_From = Message.m_From,
+    const ReceivedYield Received{.m_From = Message.m_From,
                           .m_Epoch = Item.m_Epoch,
                           .m_InFlight = Item.m_InFlight};
-    const auto Known = m_Held.find(Item.m_Shard);
-    if (Known != m_Held.end() && Known->second.m_Epoch >= Item.m_Epoch)
-      applyYield(Item.m_Shard, Known->second, From, Now);
+    const auto Found = m_Held.find(Item.m_Shard);
+    if (Found != m_Held.end() && Found->second.m_Epoch >= Item.m_Epoch)
+      applyYield(Item.m_Shard, Found->second, Received, Now);
     else
-      m_Early[Item.m_Shard] = From;
+      m_EarlyYields[Item.m_Shard] = Received;
   }
 }
 
 void Ownership::onYieldRequest(const YieldRequest &Message,
                                const PeerAddress &From) {
-  Yield Answer;
-  Answer.m_From = m_Context->m_Session;
-  Answer.m_To = Message.m_From;
+  Yield Reply;
+  Reply.m_From = m_Context->m_Session;
+  Reply.m_To = Message.m_From;
   for (const ShardRef &Shard : Message.m_Shards) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
     if (!Entry || Entry->m_Owner != Message.m_From)
       continue;
     if (std::optional<Yield::Item> Item = makeYield(Shard, *Entry))
-      Answer.m_Items.push_back(std::move(*Item));
+      Reply.m_Items.push_back(std::move(*Item));
   }
-  if (!Answer.m_Items.empty())
-    m_Context->send(From, std::move(Answer));
+  if (!Reply.m_Items.empty())
+    m_Context->send(From, std::move(Reply));
 }
 
 void Ownership::onKeyFinished(const KeyFinished &Message) {
-  const auto Known = m_Held.find(Message.m_Shard);
-  if (Known == m_Held.end())
+  const auto Found = m_Held.find(Message.m_Shard);
+  if (Found == m_Held.end())
     return;
-  Held &Value = Known->second;
+  HeldShard &Value = Found->second;
   if (!Value.m_Active || Value.m_Epoch != Message.m_Epoch ||
       Value.m_Former != Message.m_From)
     return;
-  Value.m_Waiting.erase(Message.m_Key);
-  Value.m_Resolved = Value.m_Resolved || Value.m_Waiting.empty();
+  Value.m_WaitingKeys.erase(Message.m_Key);
+  Value.m_Resolved = Value.m_Resolved || Value.m_WaitingKeys.empty();
 }
 
 void Ownership::orderStarted(const ShardRef &Shard, KeyHash Key) {
@@ -188,14 +189,14 @@
 
 void Ownership::reset() {
   m_Held.clear();
-  m_Early.clear();
-  m_Rows.clear();
+  m_EarlyYields.clear();
+  m_RowStates.clear();
   m_Owned = 0;
-  m_AskAt = Never;
+  m_YieldRequestAt = Never;
 }
 
-void Ownership::askFormers(TimePoint Now) {
-  m_AskAt = Never;
+void Ownership::requestYields(TimePoint Now) {
+  m_YieldRequestAt = Never;
   std::map<SessionId, std::vector<ShardRef>> Requests;
   std::map<SessionId, std::map<std::string, Row>> Rows;
   for (const auto &[Shard, Value] : m_Held) {
@@ -210,54 +211,54 @@
       if (const Row *Stored = m_Context->m_View.storedRow(Key))
         Rows[Value.m_Former][Key.value()] = *Stored;
   }
-  for (auto &[Former, Shards] : Requests) {
-    Changes Known;
-    for (auto &[Key, Stored] : Rows[Former])
-      Known.m_Rows.push_back(std::move(Stored));
-    if (!Known.m_Rows.empty())
-      m_Context->sendTo(Former, std::move(Known));
-    m_Context->sendTo(Former,
+  for (auto &[FormerOwner, Shards] : Requests) {
+    Changes MapRows;
+    for (auto &[Key, Stored] : Rows[FormerOwner])
+      MapRows.m_Rows.push_back(std::move(Stored));
+    if (!MapRows.m_Rows.empty())
+      m_Context->sendTo(FormerOwner, std::move(MapRows));
+    m_Context->sendTo(FormerOwner,
                       YieldRequest{m_Context->m_Session, std::move(Shards)});
   }
   if (!Requests.empty())
-    m_AskAt = Now + AskPeriod;
+    m_YieldRequestAt = Now + YieldRetryPeriod;
 }
 
 void Ownership::onTick(TimePoint Now) {
-  if (Now >= m_AskAt)
-    askFormers(Now);
+  if (Now >= m_YieldRequestAt)
+    requestYields(Now);
 }
 
 Ownership::Check Ownership::check(const ShardRef &Shard, KeyHash Key) const {
-  const auto Known = m_Held.find(Shard);
-  if (Known == m_Held.end())
+  const auto Found = m_Held.find(Shard);
+  if (Found == m_Held.end())
     return {.m_Reason = Reason::NotOwner, .m_Epoch = Epoch()};
-  const Held &Value = Known->second;
+  const HeldShard &Value = Found->second;
   const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
-  const bool Current = Entry && Entry->m_Owner == m_Context->m_Session &&
+  const bool IsCurrent = Entry && Entry->m_Owner == m_Context->m_Session &&
                        Entry->m_Epoch == Value.m_Epoch;
-  if (enforced<Rule::EpochCompare>() && !Current)
+  if (enforced<Rule::EpochCompare>() && !IsCurrent)
     return {.m_Reason = Reason::NotOwner, .m_Epoch = Epoch()};
-  if (!Value.m_Active || Value.m_Waiting.contains(Key))
+  if (!Value.m_Active || Value.m_WaitingKeys.contains(Key))
     return {.m_Reason = Reason::HandoverPending, .m_Epoch = Value.m_Epoch};
   return {.m_Reason = Reason::None, .m_Epoch = Value.m_Epoch};
 }
 
 std::optional<TimePoint> Ownership::activeSince(const ShardRef &Shard) const {
-  const auto Known = m_Held.find(Shard);
+  const auto Found = m_Held.find(Shard);
   const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
-  if (Known == m_Held.end() || !Known->second.m_Active || !Entry ||
+  if (Found == m_Held.end() || !Found->second.m_Active || !Entry ||
       Entry->m_Owner != m_Context->m_Session)
     return std::nullopt;
-  return Known->second.m_ActiveSince;
+  return Found->second.m_ActiveSince;
 }
 
 SessionId Ownership::formerOwner(const ShardRef &Shard) const {
-  const auto Known = m_Held.find(Shard);
-  if (Known == m_Held.end() ||
-      !m_Context->m_View.isLive(Known->second.m_Former))
+  const auto Found = m_Held.find(Shard);
+  if (Found == m_Held.end() ||
+      !m_Context->m_View.isLive(Found->second.m_Former))
     return SessionId();
-  return Known->second.m_Former;
+  return Found->second.m_Former;
 }
 
 std::vector<std::pair<ShardRef, Epoch>> Ownership::settled() const {
@@ -272,12 +273,12 @@
   return Result;
 }
 
-std::size_t Ownership::pending() const {
+std::size_t Ownership::pendingCount() const {
   return std::ranges::count_if(
       m_Held, [](const auto &Item) { return !Item.second.m_Active; });
 }
 
-std::size_t Ownership::waiting() const {
+std::size_t Ownership::resolvingCount() const {
   return std::ranges::count_if(m_Held, [](const auto &Item) {
     return Item.second.m_Active && !Item.second.m_Resolved;
   });
--- a/src/coordination/plan_runner.cpp
+++ b/src/coordination/plan_runner.cpp
@@ -1,4 +1,4 @@
-// Writes plans into the table.
+// Writes plans into the table, in turns, and distributes the written rows.
 #include "balsamwheel/detail/coordination/plan_runner.h"
 
 #include "balsamwheel/detail/core/hash.h"
@@ -10,21 +10,26 @@
 
 namespace {
 
+/// Hash seed of the planner order; any fixed value.
 constexpr std::uint64_t PlannerSeed = 0x706c616e;
-/// The next member in order waits so long for the one before it.
+/// A member waits this long for each member before it in the planner order.
 constexpr Duration RankDelay = std::chrono::milliseconds(300);
-/// Paced work alone gives the member in front more time.
+/// The same delay when only paced moves are due.
 constexpr Duration PacedRankDelay = std::chrono::milliseconds(900);
-/// Time between two rounds of paced moves.
-constexpr Duration RoundPeriod = std::chrono::milliseconds(250);
+/// Shortest time between two rounds of paced moves.
+constexpr Duration PacedRoundPeriod = std::chrono::milliseconds(250);
+/// Delay after a failed commit or head poll, and the bound of the jitter that
+/// is added after a failed commit.
 constexpr Duration RetryDelay = std::chrono::milliseconds(200);
+/// Bound of the random delay after a conflict with another writer.
 constexpr Duration ConflictJitter = std::chrono::milliseconds(50);
-/// Settled shards are gathered for this time into one write.
+/// Reports of settled shards are collected for this time into one write.
 constexpr Duration SettledDelay = std::chrono::milliseconds(100);
-constexpr std::size_t MostRowsPerCommit = 64;
-/// Bytes that are pushed to the new owners at most; beyond, they learn it
-/// from their leaders.
-constexpr std::size_t MostBytesPushed = std::size_t{256} * 1024;
+constexpr std::size_t MaxRowsPerCommit = 64;
+/// Maximum number of bytes sent to all affected sessions after a commit. If the
+/// rows need more, nothing is sent and the sessions receive the rows from their
+/// group leaders.
+constexpr std::size_t MaxBytesPushed = std::size_t{256} * 1024;
 
 std::uint64_t plannerScore(SessionId Session) {
   return mixHash(PlannerSeed, Session.value());
@@ -32,7 +37,7 @@
 
 } // namespace
 
-std::size_t PlanRunner::rank() const {
+std::size_t PlanRunner::plannerRank() const {
   const std::uint64_t Own = plannerScore(m_Context->m_Session);
   std::size_t Result = 0;
   for (const auto &[Number, Group] : m_Context->m_View.groups())
@@ -42,7 +47,7 @@
   return Result;
 }
 
-std::vector<SessionId> PlanRunner::order() const {
+std::vector<SessionId> PlanRunner::plannerOrder() const {
   std::vector<SessionId> Result;
   for (const auto &[Number, Group] : m_Context->m_View.groups())
     for (const GroupMember &Value : Group.m_Members)
@@ -52,9 +57,9 @@
 }
 
 void PlanRunner::onViewChanged(TimePoint Now) {
-  dropOldSettled();
+  dropStaleSettled();
   if (!m_Context->m_Changed.m_MapRows.empty())
-    m_WorkSince.reset();
+    m_ChangesDueSince.reset();
   keepEarlier(m_EvaluateAt, Now);
 }
 
@@ -62,12 +67,12 @@
     const std::vector<std::pair<ShardRef, Epoch>> &Shards, TimePoint Now) {
   for (const auto &[Shard, Settled] : Shards)
     m_Settled[Shard] = Settled;
-  dropOldSettled();
+  dropStaleSettled();
   if (!m_Settled.empty())
     keepEarlier(m_EvaluateAt, Now + SettledDelay);
 }
 
-void PlanRunner::dropOldSettled() {
+void PlanRunner::dropStaleSettled() {
   std::erase_if(m_Settled, [this](const auto &Item) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Item.first);
     return !Entry || Entry->m_Epoch > Item.second ||
@@ -78,52 +83,53 @@
 void PlanRunner::evaluate(TimePoint Now) {
   m_EvaluateAt = Never;
   const ClusterView &View = m_Context->m_View;
-  if (m_Writing || !View.complete() || !View.isLive(m_Context->m_Session))
+  if (m_CommitPending || !View.complete() || !View.isLive(m_Context->m_Session))
     return;
   PlanRequest Request;
   Request.m_View = &View;
   Request.m_Settled = &m_Settled;
-  Request.m_Paced = false;
+  Request.m_IncludePaced = false;
   Plan Next = planNextStep(Request);
-  const bool Urgent = !Next.m_Rows.empty();
-  if (Now >= m_PacedAt) {
-    Request.m_Paced = true;
-    if (m_LoadMoves)
-      Request.m_LoadMoves = m_LoadMoves(Now);
-    Request.m_Balancing = m_Balancing;
+  const bool Immediate = !Next.m_Rows.empty();
+  if (Now >= m_NextPacedRound) {
+    Request.m_IncludePaced = true;
+    if (m_TakeLoadMoves)
+      Request.m_LoadMoves = m_TakeLoadMoves(Now);
+    Request.m_BalancingServices = m_BalancingServices;
     Next = planNextStep(Request);
-    m_Balancing = Next.m_Balancing;
+    m_BalancingServices = Next.m_BalancingServices;
   }
-  if (Next.m_MoreLater)
-    m_EvaluateAt = std::max(m_PacedAt, Now + RoundPeriod);
+  if (Next.m_MovesRemain)
+    m_EvaluateAt = std::max(m_NextPacedRound, Now + PacedRoundPeriod);
   if (Next.m_Rows.empty()) {
-    if (!Next.m_MoreLater)
-      m_WorkSince.reset();
+    if (!Next.m_MovesRemain)
+      m_ChangesDueSince.reset();
     return;
   }
-  if (!m_WorkSince)
-    m_WorkSince = Now;
-  const bool First = Urgent && !m_Settled.empty();
-  const Duration Delay = Urgent ? RankDelay : PacedRankDelay;
+  if (!m_ChangesDueSince)
+    m_ChangesDueSince = Now;
+  const bool SkipsTurn = Immediate && !m_Settled.empty();
+  const Duration Delay = Immediate ? RankDelay : PacedRankDelay;
   const TimePoint Turn =
-      First ? Now : *m_WorkSince + Delay * static_cast<int>(rank());
+      SkipsTurn ? Now
+                : *m_ChangesDueSince + Delay * static_cast<int>(plannerRank());
   if (Now < Turn) {
     m_EvaluateAt = Turn;
     return;
   }
-  if (Request.m_Paced)
-    m_PacedAt = Now + RoundPeriod;
+  if (Request.m_IncludePaced)
+    m_NextPacedRound = Now + PacedRoundPeriod;
   commit(std::move(Next), Now);
 }
 
 void PlanRunner::commit(Plan Next, TimePoint Now) {
-  if (Next.m_Rows.size() > MostRowsPerCommit)
-    Next.m_Rows.resize(MostRowsPerCommit);
+  if (Next.m_Rows.size() > MaxRowsPerCommit)
+    Next.m_Rows.resize(MaxRowsPerCommit);
   const ClusterView &View = m_Context->m_View;
   Transaction Commit;
   Commit.m_Id = m_Context->newWriteId();
   std::vector<std::pair<RowKey, std::uint64_t>> Counters;
-  m_Affected.clear();
+  m_AffectedSessions.clear();
   for (MapRow &Row : Next.m_Rows) {
     const RowKey Key = mapRowKey(Row.m_Service, Row.m_Part);
     for (std::uint32_t Index = 0; Index < Row.m_Entries.size(); ++Index) {
@@ -131,8 +137,8 @@
           {Row.m_Service, ShardIndex(Row.m_Part * ShardsPerRow + Index)});
       if (Old && *Old == Row.m_Entries[Index])
         continue;
-      m_Affected.insert(Row.m_Entries[Index].m_Owner);
-      m_Affected.insert(Row.m_Entries[Index].m_Former);
+      m_AffectedSessions.insert(Row.m_Entries[Index].m_Owner);
+      m_AffectedSessions.insert(Row.m_Entries[Index].m_Former);
     }
     ++Row.m_Counter;
     Commit.m_Conditions.push_back({Key, Row.m_Version});
@@ -140,13 +146,13 @@
     Counters.emplace_back(Key, Row.m_Counter);
   }
   appendHeadBump(Commit, View.head(), Counters);
-  m_Writing = true;
+  m_CommitPending = true;
   m_Context->m_Table.commit(std::move(Commit), Now,
                             [this](CommitResult Result,
                                    const std::vector<Row> &Rows,
-                                   TimePoint Later) {
-                              m_Writing = false;
-                              onCommitted(Result, Rows, Later);
+                                   TimePoint RepliedAt) {
+                              m_CommitPending = false;
+                              onCommitted(Result, Rows, RepliedAt);
                             });
 }
 
@@ -157,27 +163,27 @@
     return;
   }
   if (Result == CommitResult::Refused) {
-    m_Poller->poll(Now, {}, [this](bool Ok, TimePoint Later) {
+    m_Poller->poll(Now, {}, [this](bool Ok, TimePoint PolledAt) {
       const Duration Delay = Ok ? Duration(0) : RetryDelay;
       keepEarlier(m_EvaluateAt,
-                  Later + Delay + m_Context->jitter(ConflictJitter));
+                  PolledAt + Delay + m_Context->jitter(ConflictJitter));
     });
     return;
   }
   m_Context->merge(Rows);
-  push(Rows);
+  pushRows(Rows);
 }
 
-void PlanRunner::push(const std::vector<Row> &Rows) {
+void PlanRunner::pushRows(const std::vector<Row> &Rows) {
   std::size_t Bytes = 0;
   for (const Row &Stored : Rows)
     Bytes += Stored.m_Value.size();
-  if (Bytes * m_Affected.size() > MostBytesPushed)
+  if (Bytes * m_AffectedSessions.size() > MaxBytesPushed)
     return;
   Changes Message;
   Message.m_Head = m_Context->m_View.completeHead();
   Message.m_Rows = Rows;
-  for (SessionId Session : m_Affected)
+  for (SessionId Session : m_AffectedSessions)
     m_Context->sendTo(Session, Message);
 }
 
--- a/src/coordination/planner.cpp
+++ b/src/coordination/planner.cpp
@@ -1,4 +1,4 @@
-// One step of changes to the ownership map.
+// Plans one step of changes to the ownership map.
 #include "balsamwheel/detail/coordination/planner.h"
 
 #include "balsamwheel/detail/coordination/placement.h"
@@ -11,18 +11,19 @@
 
 namespace {
 
-/// Moves off leaving owners in one round: half of what is left, but at least
-/// this many.
-constexpr std::size_t LeastEvictions = 8;
-/// Moves that balance counts in one round, as a share of the service's
-/// shards, and at least.
-constexpr double BalanceShare = 0.04;
-constexpr std::size_t LeastBalanceMoves = 2;
+/// One round moves half of the remaining shards off leaving owners, but at
+/// least this many.
+constexpr std::size_t MinEvictionsPerRound = 8;
+/// One round moves at most this fraction of the service's shards to balance the
+/// counts. Shards whose handover is not settled count against it.
+constexpr double BalanceMovesFraction = 0.04;
+/// Lower bound of the limit that BalanceMovesFraction gives, in shards.
+constexpr std::size_t MinBalanceMoves = 2;
 
 /// Plans one service.
-class ServicePlan {
+class ServicePlanner {
 public:
-  ServicePlan(const PlanRequest &Request, const Service &Config, Plan &Result)
+  ServicePlanner(const PlanRequest &Request, const Service &Config, Plan &Result)
       : m_Request(Request), m_View(*Request.m_View), m_Service(Config),
         m_Result(Result), m_ShardCount(m_View.shardCount(Config.m_Name) != 0
                                            ? m_View.shardCount(Config.m_Name)
@@ -35,11 +36,11 @@
     if (m_ShardCount == 0)
       return;
     clearSettled();
-    assignHeirs();
+    reassignOrphans();
     moveForLoad();
     evictLeaving();
     balanceCounts();
-    storeRows();
+    collectRows();
   }
 
 private:
@@ -83,11 +84,12 @@
     return mixHash(hashKey(m_Service.m_Name.value()).value(), Shard);
   }
 
-  bool hasLiveFormer(const ShardEntry &Entry) const {
+  bool hasLiveFormerOwner(const ShardEntry &Entry) const {
     return Entry.m_Former.value() != 0 && m_View.isLive(Entry.m_Former);
   }
 
-  void touch(std::uint32_t Shard) { m_Touched.insert(Shard / ShardsPerRow); }
+  void markChanged(std::uint32_t Shard) {
+    m_ChangedParts.insert(Shard / ShardsPerRow); }
 
   void clearSettled() {
     for (const auto &[Shard, Settled] : *m_Request.m_Settled) {
@@ -98,11 +100,12 @@
       if (Entry.m_Epoch != Settled || Entry.m_Former.value() == 0)
         continue;
       Entry.m_Former = SessionId();
-      touch(Shard.m_Shard.value());
+      markChanged(Shard.m_Shard.value());
     }
   }
 
-  /// Gives a shard to another owner. The former one is kept while it lives.
+  /// Assigns a shard to another owner and records the former owner if it is
+  /// live.
   void assign(std::uint32_t Shard, SessionId Owner) {
     ShardEntry &Entry = entry(Shard);
     SessionId Former = Entry.m_Former;
@@ -115,11 +118,11 @@
     Entry = {.m_Owner = Owner,
              .m_Epoch = Epoch(Entry.m_Epoch.value() + 1),
              .m_Former = Former};
-    touch(Shard);
+    markChanged(Shard);
     ++m_Result.m_Moves;
   }
 
-  void assignHeirs() {
+  void reassignOrphans() {
     if (m_Placement.empty())
       return;
     for (std::uint32_t Shard = 0; Shard < m_ShardCount; ++Shard)
@@ -128,7 +131,7 @@
   }
 
   bool isMovable(std::uint32_t Shard) {
-    return m_View.isLive(entry(Shard).m_Owner) && !hasLiveFormer(entry(Shard));
+    return m_View.isLive(entry(Shard).m_Owner) && !hasLiveFormerOwner(entry(Shard));
   }
 
   void moveForLoad() {
@@ -136,80 +139,82 @@
       const std::uint32_t Shard = Move.m_Shard.m_Shard.value();
       if (Move.m_Shard.m_Service != m_Service.m_Name || Shard >= m_ShardCount)
         continue;
-      if (entry(Shard).m_Owner == Move.m_From && isMovable(Shard) &&
-          m_Placement.contains(Move.m_To))
-        assign(Shard, Move.m_To);
+      if (entry(Shard).m_Owner == Move.m_Sender && isMovable(Shard) &&
+          m_Placement.contains(Move.m_Receiver))
+        assign(Shard, Move.m_Receiver);
     }
   }
 
   void evictLeaving() {
     if (m_Placement.empty())
       return;
-    std::vector<std::uint32_t> Leaving;
-    bool Waiting = false;
+    std::vector<std::uint32_t> Movable;
+    bool HasUnsettled = false;
     for (std::uint32_t Shard = 0; Shard < m_ShardCount; ++Shard) {
       if (m_Placement.contains(entry(Shard).m_Owner))
         continue;
       if (isMovable(Shard))
-        Leaving.push_back(Shard);
+        Movable.push_back(Shard);
       else
-        Waiting = true;
+        HasUnsettled = true;
     }
-    m_Evicting = Waiting || !Leaving.empty();
-    m_Result.m_MoreLater = m_Result.m_MoreLater || m_Evicting;
-    if (!m_Request.m_Paced)
+    m_Evicting = HasUnsettled || !Movable.empty();
+    m_Result.m_MovesRemain = m_Result.m_MovesRemain || m_Evicting;
+    if (!m_Request.m_IncludePaced)
       return;
-    const std::size_t Round = std::max(LeastEvictions, Leaving.size() / 2);
-    Leaving.resize(std::min(Leaving.size(), Round));
-    for (std::uint32_t Shard : Leaving)
+    const std::size_t RoundSize =
+        std::max(MinEvictionsPerRound, Movable.size() / 2);
+    Movable.resize(std::min(Movable.size(), RoundSize));
+    for (std::uint32_t Shard : Movable)
       assign(Shard, *m_Placement.choose(shardHash(Shard)));
   }
 
   std::size_t unsettledCount() {
     std::size_t Result = 0;
     for (std::uint32_t Shard = 0; Shard < m_ShardCount; ++Shard)
-      if (hasLiveFormer(entry(Shard)))
+      if (hasLiveFormerOwner(entry(Shard)))
         ++Result;
     return Result;
   }
 
   bool isBalancing() const {
     return m_Placement.isUnbalanced() ||
-           m_Request.m_Balancing.contains(m_Service.m_Name);
+           m_Request.m_BalancingServices.contains(m_Service.m_Name);
   }
 
   void balanceCounts() {
     if (m_Evicting || !isBalancing())
       return;
-    const std::size_t Round =
-        std::max(LeastBalanceMoves,
-                 static_cast<std::size_t>(m_ShardCount * BalanceShare));
+    const std::size_t MaxMoves =
+        std::max(MinBalanceMoves,
+                 static_cast<std::size_t>(m_ShardCount * BalanceMovesFraction));
     const std::size_t Unsettled = unsettledCount();
-    std::size_t Left = Unsettled >= Round ? 0 : Round - Unsettled;
-    bool MoreLater = Unsettled > 0;
+    std::size_t MovesLeft = Unsettled >= MaxMoves ? 0 : MaxMoves - Unsettled;
+    bool MovesRemain = Unsettled > 0;
     for (std::uint32_t Shard = 0; Shard < m_ShardCount; ++Shard) {
       const SessionId Owner = entry(Shard).m_Owner;
       if (!isMovable(Shard) || !m_Placement.hasSurplus(Owner))
         continue;
-      MoreLater = true;
-      if (!m_Request.m_Paced || Left == 0)
+      MovesRemain = true;
+      if (!m_Request.m_IncludePaced || MovesLeft == 0)
         break;
-      const std::optional<SessionId> To = m_Placement.choose(shardHash(Shard));
-      if (!To || *To == Owner)
+      const std::optional<SessionId> NewOwner =
+          m_Placement.choose(shardHash(Shard));
+      if (!NewOwner || *NewOwner == Owner)
         continue;
-      assign(Shard, *To);
-      --Left;
+      assign(Shard, *NewOwner);
+      --MovesLeft;
     }
-    if (!MoreLater)
+    if (!MovesRemain)
       return;
-    m_Result.m_MoreLater = true;
-    m_Result.m_Balancing.insert(m_Service.m_Name);
+    m_Result.m_MovesRemain = true;
+    m_Result.m_BalancingServices.insert(m_Service.m_Name);
   }
 
-  void storeRows() {
+  void collectRows() {
     for (std::uint32_t Part = 0; Part < m_Rows.size(); ++Part) {
-      const bool New = m_Rows[Part].m_Version.value() == 0;
-      if (m_Touched.contains(Part) || (New && !m_Placement.empty()))
+      const bool IsNew = m_Rows[Part].m_Version.value() == 0;
+      if (m_ChangedParts.contains(Part) || (IsNew && !m_Placement.empty()))
         m_Result.m_Rows.push_back(std::move(m_Rows[Part]));
     }
   }
@@ -221,7 +226,8 @@
   std::uint32_t m_ShardCount;
   Placement m_Placement;
   std::vector<MapRow> m_Rows;
-  std::set<std::uint32_t> m_Touched;
+  std::set<std::uint32_t> m_ChangedParts;
+  /// Leaving owners still have shards; counts are not balanced meanwhile.
   bool m_Evicting = false;
 };
 
@@ -234,7 +240,7 @@
     return Result;
   for (const Service &Candidate : Current->m_Manifest.m_Services)
     if (Candidate.m_DividedByKey)
-      ServicePlan(Request, Candidate, Result).run();
+      ServicePlanner(Request, Candidate, Result).run();
   return Result;
 }
 
--- a/tests/unit-document.cpp
+++ b/tests/unit-document.cpp
@@ -1,4 +1,4 @@
-// The stored form of the configuration.
+// The stored format of the configuration and of its deltas.
 #include "balsamwheel/coordination.h"
 
 #include <doctest/doctest.h>
@@ -12,32 +12,32 @@
   Result.m_Version = ConfigVersion(Version);
   Result.m_Manifest.m_Deployment = "test";
   Result.m_Manifest.m_Domains = {{DomainName("a"), RegionName("r")}};
-  Service Keyed;
-  Keyed.m_Name = ServiceName("orders");
-  Keyed.m_DividedByKey = true;
-  Keyed.m_Shards = 16;
+  Service Sharded;
+  Sharded.m_Name = ServiceName("orders");
+  Sharded.m_DividedByKey = true;
+  Sharded.m_Shards = 16;
   RequestClass Class;
   Class.m_Name = ClassName("place");
   Class.m_Idempotent = false;
   Class.m_Match = {"POST /orders"};
-  Keyed.m_Classes = {Class};
-  Result.m_Manifest.m_Services = {Keyed};
+  Sharded.m_Classes = {Class};
+  Result.m_Manifest.m_Services = {Sharded};
   return Result;
 }
 
 } // namespace
 
-TEST_CASE("a configuration survives its document") {
+TEST_CASE("a configuration converted to a document and back is unchanged") {
   const Config Value = makeConfig(3);
   CHECK(fromDocument(toDocument(Value)) == Value);
 }
 
-TEST_CASE("a document of another shape is refused") {
+TEST_CASE("a document in an unexpected format is rejected") {
   CHECK_FALSE(fromDocument(nlohmann::json::array()).has_value());
   CHECK_FALSE(fromDocument({{"version", "three"}}).has_value());
 }
 
-TEST_CASE("a delta leads to the next version only") {
+TEST_CASE("a delta applies only to the version before it") {
   const Config Base = makeConfig(3);
   Config Next = Base;
   Next.m_Version = ConfigVersion(4);
--- a/tests/unit-placement.cpp
+++ b/tests/unit-placement.cpp
@@ -1,4 +1,5 @@
-// Placement: every shard has an owner, within its bound, with little churn.
+// Placement: every shard gets an owner, no owner exceeds its bound, and few
+// shards move when a member leaves.
 #include "balsamwheel/detail/coordination/placement.h"
 
 #include <doctest/doctest.h>
@@ -34,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("every shard is placed and every bound kept") {
+TEST_CASE("every shard is placed and no candidate exceeds its bound") {
   CHECK(rc::check("bounds", [] {
     const auto Members = *rc::gen::inRange<std::size_t>(1, 30);
     const auto Shards = *rc::gen::inRange<std::uint32_t>(1, 600);
@@ -47,34 +48,34 @@
   }));
 }
 
-TEST_CASE("when a member leaves only its shards move") {
+TEST_CASE("when a member leaves, only its shards move") {
   CHECK(rc::check("churn", [] {
     const auto Members = *rc::gen::inRange<std::size_t>(2, 30);
     const auto Shards = *rc::gen::inRange<std::uint32_t>(1, 600);
-    const auto Gone = SessionId(*rc::gen::inRange<std::size_t>(1, Members + 1));
+    const auto LeavingSession = SessionId(*rc::gen::inRange<std::size_t>(1, Members + 1));
     Placement Before(makeCandidates(Members), Shards);
     const auto Owners = placeAll(Before, Shards);
-    std::vector<PlacementCandidate> Rest = makeCandidates(Members);
-    std::erase_if(Rest, [Gone](const PlacementCandidate &Candidate) {
-      return Candidate.m_Session == Gone;
+    std::vector<PlacementCandidate> Remaining = makeCandidates(Members);
+    std::erase_if(Remaining, [LeavingSession](const PlacementCandidate &Candidate) {
+      return Candidate.m_Session == LeavingSession;
     });
-    Placement After(Rest, Shards);
+    Placement After(Remaining, Shards);
     for (const auto &[Shard, Owner] : Owners)
       After.add(Owner);
     for (const auto &[Shard, Owner] : Owners)
-      if (Owner == Gone)
+      if (Owner == LeavingSession)
         After.add(*After.choose(Shard * 104729));
     std::uint32_t Total = 0;
-    for (const PlacementCandidate &Candidate : Rest) {
+    for (const PlacementCandidate &Candidate : Remaining) {
       const std::uint32_t Count = After.count(Candidate.m_Session);
       RC_ASSERT(Count >= Before.count(Candidate.m_Session));
-      RC_ASSERT(Count <= std::ceil(static_cast<double>(Shards) / Rest.size()));
+      RC_ASSERT(Count <= std::ceil(static_cast<double>(Shards) / Remaining.size()));
       Total += Count;
     }
     RC_ASSERT(Total == Shards);
   }));
 }
 
-TEST_CASE("no candidates, no owner") {
+TEST_CASE("no owner is chosen without candidates") {
   CHECK_FALSE(Placement({}, 8).choose(1).has_value());
 }
