--- a/include/balsamwheel/detail/coordination/cluster_view.h
+++ b/include/balsamwheel/detail/coordination/cluster_view.h
@@ -36,7 +36,7 @@
   /// Whether every row has the counter that the head row names for it.
   bool complete() const { return m_Complete; }
   /// The newest version of the head row at which the view was complete.
-  RowVersion completeHead() const { return m_CompleteHead; }
+  RowVersion completeHead() const { return m_CompleteHeadVersion; }
   /// Keys of the rows that are missing or older than the head row says.
   std::vector<RowKey> staleRows() const;
   /// A row as it was read from the table; null if it is not known.
@@ -93,7 +93,7 @@
 
   HeadRow m_Head;
   bool m_Complete = false;
-  RowVersion m_CompleteHead;
+  RowVersion m_CompleteHeadVersion;
   std::map<std::string, StoredRow> m_Rows;
   std::map<std::uint32_t, GroupRow> m_Groups;
   /// Each live session with its group. A session is in one group row at a time,
--- a/include/balsamwheel/detail/coordination/coordinator.h
+++ b/include/balsamwheel/detail/coordination/coordinator.h
@@ -39,7 +39,8 @@
   /// member in leader order.
   Duration m_AckTimeout = std::chrono::milliseconds(250);
   Duration m_HeadPollPeriod = std::chrono::milliseconds(300);
-  /// A domain that is taken out refuses new work after this time at the latest.
+  /// A daemon whose domain is taken out, or that drains or shuts down, refuses
+  /// new work after this time at the latest.
   Duration m_DomainOutGrace = std::chrono::milliseconds(2500);
 };
 
--- a/include/balsamwheel/detail/coordination/ownership.h
+++ b/include/balsamwheel/detail/coordination/ownership.h
@@ -84,10 +84,10 @@
   void updateRow(const MapRow &Row, RowState &State, TimePoint Now);
   void acquire(const ShardRef &Shard, const ShardEntry &Entry, TimePoint Now);
   /// Activates a held shard if its former owner has ended or yielded it.
-  void advanceHandover(const ShardRef &Shard, HeldShard &Value,
+  void advanceHandover(const ShardRef &Shard, HeldShard &Held,
                        const ShardEntry &Entry, TimePoint Now);
-  void activate(const ShardRef &Shard, HeldShard &Value, TimePoint Now);
-  void applyYield(const ShardRef &Shard, HeldShard &Value,
+  void activate(const ShardRef &Shard, HeldShard &Held, TimePoint Now);
+  void applyYield(const ShardRef &Shard, HeldShard &Held,
                   const ReceivedYield &Received, TimePoint Now);
   /// \returns none while DrainThenSwitch must wait for running orders.
   std::optional<Yield::Item> makeYield(const ShardRef &Shard,
--- a/src/coordination/cluster_view.cpp
+++ b/src/coordination/cluster_view.cpp
@@ -104,7 +104,7 @@
     if (isMapRowKey(Kept.m_Row.m_Key) && !Kept.m_NamedByHead)
       m_Complete = false;
   if (m_Complete)
-    m_CompleteHead = m_Head.m_Version;
+    m_CompleteHeadVersion = m_Head.m_Version;
 }
 
 std::vector<RowKey> ClusterView::staleRows() const {
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Settled shards are reported again after this time while the map still names
+/// Settled shards are reported with this period until the map no longer names
 /// their former owners.
 constexpr Duration SettledReportPeriod = std::chrono::milliseconds(400);
 /// After this many reports without effect, the next planner in order gets them.
@@ -113,17 +113,17 @@
   Permit permit(const ServiceName &Service, KeyHash Key, TimePoint Now) const {
     Permit Result;
     const LeaseHolder &Lease = m_Membership.lease();
-    const std::uint32_t Shards = m_Context.m_View.shardCount(Service);
+    const std::uint32_t ShardCount = m_Context.m_View.shardCount(Service);
     const balsamwheel::Service *Config = findService(Service);
     if (!Config)
       return refuse(Reason::UnknownService);
     if (Now >= m_RefuseWorkAt)
       return refuse(m_LeaveReason);
     if (Config->m_DividedByKey) {
-      if (Shards == 0)
+      if (ShardCount == 0)
         return refuse(Reason::NoOwner);
       const Ownership::Check Check =
-          m_Ownership.check({Service, shardOf(Key, Shards)}, Key);
+          m_Ownership.check({Service, shardOf(Key, ShardCount)}, Key);
       Result.m_Epoch = Check.m_Epoch;
       if (Check.m_Reason != Reason::None) {
         Result.m_Reason = Check.m_Reason;
@@ -146,9 +146,9 @@
 
   Route route(const ServiceName &Service, KeyHash Key) const {
     Route Result;
-    const std::uint32_t Shards = m_Context.m_View.shardCount(Service);
+    const std::uint32_t ShardCount = m_Context.m_View.shardCount(Service);
     Result.m_Shard = {Service,
-                      Shards == 0 ? ShardIndex() : shardOf(Key, Shards)};
+                      ShardCount == 0 ? ShardIndex() : shardOf(Key, ShardCount)};
     const ShardEntry *Entry = m_Context.m_View.findEntry(Result.m_Shard);
     if (!Entry)
       return Result;
@@ -263,7 +263,7 @@
       m_LoadReporter.onReport(Message, Now);
   }
 
-  /// Notifies the components of view changes until none of them causes another.
+  /// Notifies the components of changes of the view until there are none left.
   void dispatchChanges(TimePoint Now) {
     while (m_Context.m_Changed.m_Any) {
       m_Membership.onViewChanged(Now);
--- a/src/coordination/load_balancer.cpp
+++ b/src/coordination/load_balancer.cpp
@@ -89,7 +89,7 @@
                                std::vector<LoadMove> &Result) {
   ServiceState &State = m_ServiceStates[Service];
   std::erase_if(State.m_MoveTimes,
-                [Now](TimePoint Moved) { return Now - Moved >= BudgetPeriod; });
+                [Now](TimePoint MovedAt) { return Now - MovedAt >= BudgetPeriod; });
   if (Owners.size() < 2)
     return;
   double Mean = 0;
--- a/src/coordination/ownership.cpp
+++ b/src/coordination/ownership.cpp
@@ -22,11 +22,11 @@
       if (Row.m_Version > State.m_Version)
         updateRow(Row, State, Now);
     }
-  for (auto &[Shard, Value] : m_Held) {
+  for (auto &[Shard, Held] : m_Held) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
     if (Entry && Entry->m_Owner == m_Context->m_Session &&
-        Entry->m_Epoch == Value.m_Epoch)
-      advanceHandover(Shard, Value, *Entry, Now);
+        Entry->m_Epoch == Held.m_Epoch)
+      advanceHandover(Shard, Held, *Entry, Now);
   }
   if (m_YieldRequestAt == Never && pendingCount() + resolvingCount() > 0)
     requestYields(Now);
@@ -61,55 +61,55 @@
   const auto Found = m_Held.find(Shard);
   if (Found != m_Held.end() && Found->second.m_Epoch == Entry.m_Epoch)
     return;
-  HeldShard Value;
-  Value.m_Epoch = Entry.m_Epoch;
-  Value.m_Former = Entry.m_Former;
-  advanceHandover(Shard, Value, Entry, Now);
-  m_Held[Shard] = std::move(Value);
+  HeldShard Held;
+  Held.m_Epoch = Entry.m_Epoch;
+  Held.m_Former = Entry.m_Former;
+  advanceHandover(Shard, Held, Entry, Now);
+  m_Held[Shard] = std::move(Held);
 }
 
-void Ownership::advanceHandover(const ShardRef &Shard, HeldShard &Value,
+void Ownership::advanceHandover(const ShardRef &Shard, HeldShard &Held,
                         const ShardEntry &Entry, TimePoint Now) {
-  if (Value.m_Active && Value.m_Resolved)
+  if (Held.m_Active && Held.m_Resolved)
     return;
   const bool NoFormerOwner = Entry.m_Former.value() == 0;
   if (NoFormerOwner || m_Context->m_View.isGone(Entry.m_Former)) {
-    Value.m_WaitingKeys.clear();
-    Value.m_Resolved = true;
-    activate(Shard, Value, Now);
+    Held.m_WaitingKeys.clear();
+    Held.m_Resolved = true;
+    activate(Shard, Held, Now);
     return;
   }
   const auto EarlyYield = m_EarlyYields.find(Shard);
   if (EarlyYield != m_EarlyYields.end()) {
-    applyYield(Shard, Value, EarlyYield->second, Now);
+    applyYield(Shard, Held, EarlyYield->second, Now);
     m_EarlyYields.erase(EarlyYield);
   }
   if (!enforced<Rule::YieldWait>())
-    activate(Shard, Value, Now);
+    activate(Shard, Held, Now);
 }
 
-void Ownership::activate(const ShardRef &Shard, HeldShard &Value, TimePoint Now) {
-  if (Value.m_Active)
+void Ownership::activate(const ShardRef &Shard, HeldShard &Held, TimePoint Now) {
+  if (Held.m_Active)
     return;
-  Value.m_Active = true;
-  Value.m_ActiveSince = Now;
-  m_Context->m_Effects.push_back(GrantTarget{Shard, Value.m_Epoch});
+  Held.m_Active = true;
+  Held.m_ActiveSince = Now;
+  m_Context->m_Effects.push_back(GrantTarget{Shard, Held.m_Epoch});
 }
 
-void Ownership::applyYield(const ShardRef &Shard, HeldShard &Value,
+void Ownership::applyYield(const ShardRef &Shard, HeldShard &Held,
                            const ReceivedYield &Received, TimePoint Now) {
-  if (Received.m_Epoch != Value.m_Epoch || Received.m_From != Value.m_Former ||
-      Value.m_Resolved)
+  if (Received.m_Epoch != Held.m_Epoch || Received.m_From != Held.m_Former ||
+      Held.m_Resolved)
     return;
   std::unordered_set<KeyHash> Keys(Received.m_InFlight.begin(),
                                    Received.m_InFlight.end());
-  if (Value.m_Active)
-    std::erase_if(Value.m_WaitingKeys,
+  if (Held.m_Active)
+    std::erase_if(Held.m_WaitingKeys,
                   [&Keys](KeyHash Key) { return !Keys.contains(Key); });
   else
-    Value.m_WaitingKeys = std::move(Keys);
-  Value.m_Resolved = Value.m_WaitingKeys.empty();
-  activate(Shard, Value, Now);
+    Held.m_WaitingKeys = std::move(Keys);
+  Held.m_Resolved = Held.m_WaitingKeys.empty();
+  activate(Shard, Held, Now);
 }
 
 std::optional<Yield::Item> Ownership::makeYield(const ShardRef &Shard,
@@ -160,12 +160,12 @@
   const auto Found = m_Held.find(Message.m_Shard);
   if (Found == m_Held.end())
     return;
-  HeldShard &Value = Found->second;
-  if (!Value.m_Active || Value.m_Epoch != Message.m_Epoch ||
-      Value.m_Former != Message.m_From)
+  HeldShard &Held = Found->second;
+  if (!Held.m_Active || Held.m_Epoch != Message.m_Epoch ||
+      Held.m_Former != Message.m_From)
     return;
-  Value.m_WaitingKeys.erase(Message.m_Key);
-  Value.m_Resolved = Value.m_Resolved || Value.m_WaitingKeys.empty();
+  Held.m_WaitingKeys.erase(Message.m_Key);
+  Held.m_Resolved = Held.m_Resolved || Held.m_WaitingKeys.empty();
 }
 
 void Ownership::orderStarted(const ShardRef &Shard, KeyHash Key) {
@@ -199,17 +199,17 @@
   m_YieldRequestAt = Never;
   std::map<SessionId, std::vector<ShardRef>> Requests;
   std::map<SessionId, std::map<std::string, Row>> Rows;
-  for (const auto &[Shard, Value] : m_Held) {
+  for (const auto &[Shard, Held] : m_Held) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
-    if (Value.m_Resolved || !Entry || Entry->m_Epoch != Value.m_Epoch ||
+    if (Held.m_Resolved || !Entry || Entry->m_Epoch != Held.m_Epoch ||
         Entry->m_Owner != m_Context->m_Session)
       continue;
-    Requests[Value.m_Former].push_back(Shard);
+    Requests[Held.m_Former].push_back(Shard);
     const RowKey Key =
         mapRowKey(Shard.m_Service, Shard.m_Shard.value() / ShardsPerRow);
-    if (!Value.m_Active)
+    if (!Held.m_Active)
       if (const Row *Stored = m_Context->m_View.storedRow(Key))
-        Rows[Value.m_Former][Key.value()] = *Stored;
+        Rows[Held.m_Former][Key.value()] = *Stored;
   }
   for (auto &[FormerOwner, Shards] : Requests) {
     Changes MapRows;
@@ -233,15 +233,15 @@
   const auto Found = m_Held.find(Shard);
   if (Found == m_Held.end())
     return {.m_Reason = Reason::NotOwner, .m_Epoch = Epoch()};
-  const HeldShard &Value = Found->second;
+  const HeldShard &Held = Found->second;
   const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
   const bool IsCurrent = Entry && Entry->m_Owner == m_Context->m_Session &&
-                       Entry->m_Epoch == Value.m_Epoch;
+                       Entry->m_Epoch == Held.m_Epoch;
   if (enforced<Rule::EpochCompare>() && !IsCurrent)
     return {.m_Reason = Reason::NotOwner, .m_Epoch = Epoch()};
-  if (!Value.m_Active || Value.m_WaitingKeys.contains(Key))
-    return {.m_Reason = Reason::HandoverPending, .m_Epoch = Value.m_Epoch};
-  return {.m_Reason = Reason::None, .m_Epoch = Value.m_Epoch};
+  if (!Held.m_Active || Held.m_WaitingKeys.contains(Key))
+    return {.m_Reason = Reason::HandoverPending, .m_Epoch = Held.m_Epoch};
+  return {.m_Reason = Reason::None, .m_Epoch = Held.m_Epoch};
 }
 
 std::optional<TimePoint> Ownership::activeSince(const ShardRef &Shard) const {
@@ -263,12 +263,12 @@
 
 std::vector<std::pair<ShardRef, Epoch>> Ownership::settled() const {
   std::vector<std::pair<ShardRef, Epoch>> Result;
-  for (const auto &[Shard, Value] : m_Held) {
+  for (const auto &[Shard, Held] : m_Held) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
-    if (Value.m_Resolved && Entry && Entry->m_Owner == m_Context->m_Session &&
-        Entry->m_Epoch == Value.m_Epoch && Entry->m_Former.value() != 0 &&
+    if (Held.m_Resolved && Entry && Entry->m_Owner == m_Context->m_Session &&
+        Entry->m_Epoch == Held.m_Epoch && Entry->m_Former.value() != 0 &&
         m_Context->m_View.isLive(Entry->m_Former))
-      Result.emplace_back(Shard, Value.m_Epoch);
+      Result.emplace_back(Shard, Held.m_Epoch);
   }
   return Result;
 }
--- a/src/coordination/plan_runner.cpp
+++ b/src/coordination/plan_runner.cpp
@@ -110,11 +110,11 @@
     m_ChangesDueSince = Now;
   const bool SkipsTurn = Immediate && !m_Settled.empty();
   const Duration Delay = Immediate ? RankDelay : PacedRankDelay;
-  const TimePoint Turn =
+  const TimePoint CommitAt =
       SkipsTurn ? Now
                 : *m_ChangesDueSince + Delay * static_cast<int>(plannerRank());
-  if (Now < Turn) {
-    m_EvaluateAt = Turn;
+  if (Now < CommitAt) {
+    m_EvaluateAt = CommitAt;
     return;
   }
   if (Request.m_IncludePaced)
