--- a/include/balsamwheel/detail/manifest/document.h
+++ b/include/balsamwheel/detail/manifest/document.h
@@ -41,10 +41,11 @@
 /// The caller adds the condition on the head row and its new value, see
 /// appendHeadBump().
 ///
-/// \param Current the row ConfigHeadRow as read; version 0 if absent.
+/// \param Current the row with the key ConfigHeadRow as read; version 0 if
+/// absent.
 /// \param Base the configuration in that row.
 /// \param Next the new configuration; its version must be Base's plus 1.
-/// \param Id the write id; stored in the row ConfigHeadRow.
+/// \param Id the write id; stored in that row.
 /// Complexity: linear in the size of the document.
 Transaction makeConfigCommit(const Row &Current, const Config &Base,
                              const Config &Next, WriteId Id);
@@ -55,7 +56,7 @@
 /// to the next version.
 std::optional<Config> applyDelta(const Config &Base, const std::string &Patch);
 
-/// Reads the configuration from the row ConfigHeadRow.
+/// Reads the configuration from the row with the key ConfigHeadRow.
 ///
 /// \returns none when the row is absent or does not have the expected format.
 std::optional<Config> configFromRow(const Row &HeadRow);
--- a/src/coordination/cluster_view.cpp
+++ b/src/coordination/cluster_view.cpp
@@ -43,10 +43,11 @@
   if (!Next || Next->m_Version.value() == 0)
     return;
   const auto Previous = m_Groups.find(Next->m_Group);
-  if (Previous != m_Groups.end() && Next->m_Version <= Previous->second.m_Version)
+  if (Previous != m_Groups.end() &&
+      Next->m_Version <= Previous->second.m_Version)
     return;
-  const bool MembersChanged =
-      Previous == m_Groups.end() || Next->m_Counter != Previous->second.m_Counter;
+  const bool MembersChanged = Previous == m_Groups.end() ||
+                              Next->m_Counter != Previous->second.m_Counter;
   storeRow(Stored, Next->m_Counter);
   Result.m_Any = true;
   Result.m_Members = Result.m_Members || MembersChanged;
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -147,8 +147,8 @@
   Route route(const ServiceName &Service, KeyHash Key) const {
     Route Result;
     const std::uint32_t ShardCount = m_Context.m_View.shardCount(Service);
-    Result.m_Shard = {Service,
-                      ShardCount == 0 ? ShardIndex() : shardOf(Key, ShardCount)};
+    Result.m_Shard = {Service, ShardCount == 0 ? ShardIndex()
+                                               : shardOf(Key, ShardCount)};
     const ShardEntry *Entry = m_Context.m_View.findEntry(Result.m_Shard);
     if (!Entry)
       return Result;
@@ -300,7 +300,8 @@
   }
 
   void reportSettled(TimePoint Now) {
-    m_SettledReportAt = m_ShutdownAt == Never ? Never : Now + SettledReportPeriod;
+    m_SettledReportAt =
+        m_ShutdownAt == Never ? Never : Now + SettledReportPeriod;
     OwnerReport Message;
     Message.m_From = m_Context.m_Session;
     Message.m_Settled = m_Ownership.settled();
--- a/src/coordination/load_balancer.cpp
+++ b/src/coordination/load_balancer.cpp
@@ -58,7 +58,8 @@
       if (Value.m_Service != Service || View.isLeaving(Value))
         continue;
       const auto Report = m_Reports.find(Value.m_Session);
-      if (Report == m_Reports.end() || Now - Report->second.m_ReceivedAt > MaxAge)
+      if (Report == m_Reports.end() ||
+          Now - Report->second.m_ReceivedAt > MaxAge)
         return {};
       Result.push_back({.m_Session = Value.m_Session,
                         .m_Rate = Report->second.m_Report.m_TotalRate,
@@ -88,8 +89,9 @@
                                std::vector<Owner> Owners, TimePoint Now,
                                std::vector<LoadMove> &Result) {
   ServiceState &State = m_ServiceStates[Service];
-  std::erase_if(State.m_MoveTimes,
-                [Now](TimePoint MovedAt) { return Now - MovedAt >= BudgetPeriod; });
+  std::erase_if(State.m_MoveTimes, [Now](TimePoint MovedAt) {
+    return Now - MovedAt >= BudgetPeriod;
+  });
   if (Owners.size() < 2)
     return;
   double Mean = 0;
@@ -102,16 +104,19 @@
   }
   if (!State.m_ImbalancedSince)
     State.m_ImbalancedSince = Now;
-  if (Now - *State.m_ImbalancedSince < MinImbalanceTime || Now < State.m_CooldownEnd)
+  if (Now - *State.m_ImbalancedSince < MinImbalanceTime ||
+      Now < State.m_CooldownEnd)
     return;
   const std::size_t MovesPerPeriod =
       std::max<std::size_t>(1, View.shardCount(Service) / 100);
   for (std::size_t Moves = 0;
-       Moves < MaxMovesPerRound && State.m_MoveTimes.size() < MovesPerPeriod; ++Moves) {
+       Moves < MaxMovesPerRound && State.m_MoveTimes.size() < MovesPerPeriod;
+       ++Moves) {
     const auto Sender = std::ranges::max_element(Owners, {}, &Owner::m_Rate);
     const auto Receiver = std::ranges::min_element(Owners, {}, &Owner::m_Rate);
     const OwnerReport::Load *Shard =
-        bestShard(Sender->m_Hottest, Sender->m_Rate, Receiver->m_Rate, MinPeakReduction * Mean);
+        bestShard(Sender->m_Hottest, Sender->m_Rate, Receiver->m_Rate,
+                  MinPeakReduction * Mean);
     if (!Shard || Sender->m_Rate <= MaxPeakToMean * Mean)
       break;
     const OwnerReport::Load Moved = *Shard;
--- a/src/coordination/load_tracker.cpp
+++ b/src/coordination/load_tracker.cpp
@@ -28,7 +28,8 @@
   });
 }
 
-std::vector<OwnerReport::Load> LoadTracker::hottest(std::size_t MaxShards) const {
+std::vector<OwnerReport::Load>
+LoadTracker::hottest(std::size_t MaxShards) const {
   std::vector<OwnerReport::Load> Result;
   Result.reserve(m_Shards.size());
   for (const auto &[Shard, Value] : m_Shards)
--- a/src/coordination/ownership.cpp
+++ b/src/coordination/ownership.cpp
@@ -57,7 +57,7 @@
 }
 
 void Ownership::acquire(const ShardRef &Shard, const ShardEntry &Entry,
-                     TimePoint Now) {
+                        TimePoint Now) {
   const auto Found = m_Held.find(Shard);
   if (Found != m_Held.end() && Found->second.m_Epoch == Entry.m_Epoch)
     return;
@@ -69,7 +69,7 @@
 }
 
 void Ownership::advanceHandover(const ShardRef &Shard, HeldShard &Held,
-                        const ShardEntry &Entry, TimePoint Now) {
+                                const ShardEntry &Entry, TimePoint Now) {
   if (Held.m_Active && Held.m_Resolved)
     return;
   const bool NoFormerOwner = Entry.m_Former.value() == 0;
@@ -88,7 +88,8 @@
     activate(Shard, Held, Now);
 }
 
-void Ownership::activate(const ShardRef &Shard, HeldShard &Held, TimePoint Now) {
+void Ownership::activate(const ShardRef &Shard, HeldShard &Held,
+                         TimePoint Now) {
   if (Held.m_Active)
     return;
   Held.m_Active = true;
@@ -130,8 +131,8 @@
     return;
   for (const Yield::Item &Item : Message.m_Items) {
     const ReceivedYield Received{.m_From = Message.m_From,
-                          .m_Epoch = Item.m_Epoch,
-                          .m_InFlight = Item.m_InFlight};
+                                 .m_Epoch = Item.m_Epoch,
+                                 .m_InFlight = Item.m_InFlight};
     const auto Found = m_Held.find(Item.m_Shard);
     if (Found != m_Held.end() && Found->second.m_Epoch >= Item.m_Epoch)
       applyYield(Item.m_Shard, Found->second, Received, Now);
@@ -236,7 +237,7 @@
   const HeldShard &Held = Found->second;
   const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
   const bool IsCurrent = Entry && Entry->m_Owner == m_Context->m_Session &&
-                       Entry->m_Epoch == Held.m_Epoch;
+                         Entry->m_Epoch == Held.m_Epoch;
   if (enforced<Rule::EpochCompare>() && !IsCurrent)
     return {.m_Reason = Reason::NotOwner, .m_Epoch = Epoch()};
   if (!Held.m_Active || Held.m_WaitingKeys.contains(Key))
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -59,8 +59,9 @@
   const CandidateState *Best = nullptr;
   std::uint64_t BestScore = 0;
   for (const CandidateState &Candidate : m_Candidates) {
-    const bool HasRoom = Candidate.m_Count < Candidate.m_Floor ||
-                      (Candidate.m_Count < Candidate.m_Bound && RemainderLeft);
+    const bool HasRoom =
+        Candidate.m_Count < Candidate.m_Floor ||
+        (Candidate.m_Count < Candidate.m_Bound && RemainderLeft);
     if (!HasRoom)
       continue;
     const std::uint64_t Score =
--- a/src/coordination/planner.cpp
+++ b/src/coordination/planner.cpp
@@ -23,7 +23,8 @@
 /// Plans one service.
 class ServicePlanner {
 public:
-  ServicePlanner(const PlanRequest &Request, const Service &Config, Plan &Result)
+  ServicePlanner(const PlanRequest &Request, const Service &Config,
+                 Plan &Result)
       : m_Request(Request), m_View(*Request.m_View), m_Service(Config),
         m_Result(Result), m_ShardCount(m_View.shardCount(Config.m_Name) != 0
                                            ? m_View.shardCount(Config.m_Name)
@@ -89,7 +90,8 @@
   }
 
   void markChanged(std::uint32_t Shard) {
-    m_ChangedParts.insert(Shard / ShardsPerRow); }
+    m_ChangedParts.insert(Shard / ShardsPerRow);
+  }
 
   void clearSettled() {
     for (const auto &[Shard, Settled] : *m_Request.m_Settled) {
@@ -131,7 +133,8 @@
   }
 
   bool isMovable(std::uint32_t Shard) {
-    return m_View.isLive(entry(Shard).m_Owner) && !hasLiveFormerOwner(entry(Shard));
+    return m_View.isLive(entry(Shard).m_Owner) &&
+           !hasLiveFormerOwner(entry(Shard));
   }
 
   void moveForLoad() {
--- a/tests/unit-load-balance.cpp
+++ b/tests/unit-load-balance.cpp
@@ -15,7 +15,8 @@
 constexpr std::size_t DaemonCount = 6;
 
 /// Runs orders at the owner of each shard, at the shard's rate per second.
-void sendLoad(Cluster &TestCluster, const std::vector<double> &Rates, int Seconds) {
+void sendLoad(Cluster &TestCluster, const std::vector<double> &Rates,
+              int Seconds) {
   const ServiceName Service("orders");
   for (int Second = 0; Second < Seconds; ++Second) {
     for (std::uint32_t Shard = 0; Shard < ShardCount; ++Shard)
@@ -24,13 +25,14 @@
           const ShardRef Ref{Service, ShardIndex(Shard)};
           TestCluster.at(Index).orderStarted(Ref, KeyHash(Shard), Epoch(1));
           TestCluster.at(Index).orderFinished(Ref, KeyHash(Shard), Epoch(1),
-                                        TestCluster.m_Now);
+                                              TestCluster.m_Now);
         }
     TestCluster.run(seconds(1));
   }
 }
 
-double peakToMean(const Cluster &TestCluster, const std::vector<double> &Rates) {
+double peakToMean(const Cluster &TestCluster,
+                  const std::vector<double> &Rates) {
   std::vector<double> Loads(DaemonCount, 0);
   for (std::uint32_t Shard = 0; Shard < ShardCount; ++Shard)
     for (std::size_t Index : TestCluster.permitted(KeyHash(Shard)))
--- a/tests/unit-placement.cpp
+++ b/tests/unit-placement.cpp
@@ -52,13 +52,15 @@
   CHECK(rc::check("churn", [] {
     const auto Members = *rc::gen::inRange<std::size_t>(2, 30);
     const auto Shards = *rc::gen::inRange<std::uint32_t>(1, 600);
-    const auto LeavingSession = SessionId(*rc::gen::inRange<std::size_t>(1, Members + 1));
+    const auto LeavingSession =
+        SessionId(*rc::gen::inRange<std::size_t>(1, Members + 1));
     Placement Before(makeCandidates(Members), Shards);
     const auto Owners = placeAll(Before, Shards);
     std::vector<PlacementCandidate> Remaining = makeCandidates(Members);
-    std::erase_if(Remaining, [LeavingSession](const PlacementCandidate &Candidate) {
-      return Candidate.m_Session == LeavingSession;
-    });
+    std::erase_if(Remaining,
+                  [LeavingSession](const PlacementCandidate &Candidate) {
+                    return Candidate.m_Session == LeavingSession;
+                  });
     Placement After(Remaining, Shards);
     for (const auto &[Shard, Owner] : Owners)
       After.add(Owner);
@@ -69,7 +71,8 @@
     for (const PlacementCandidate &Candidate : Remaining) {
       const std::uint32_t Count = After.count(Candidate.m_Session);
       RC_ASSERT(Count >= Before.count(Candidate.m_Session));
-      RC_ASSERT(Count <= std::ceil(static_cast<double>(Shards) / Remaining.size()));
+      RC_ASSERT(Count <=
+                std::ceil(static_cast<double>(Shards) / Remaining.size()));
       Total += Count;
     }
     RC_ASSERT(Total == Shards);
