--- a/include/balsamwheel/detail/coordination/coordinator.h
+++ b/include/balsamwheel/detail/coordination/coordinator.h
@@ -125,11 +125,11 @@
 /// Takes part in the assignment of shards to owners and decides which orders
 /// the local daemon may start. One instance per run of the daemon.
 ///
-/// Invariants: a permit for a service that is divided by key is granted only
-/// while the session's lease is valid, the newest known map row names this
-/// session as owner under the returned epoch, and the former owner has yielded
-/// the shard or its lease has provably ended. The configuration version never
-/// decreases.
+/// Invariants: a permit is granted only while the session's lease is valid. For
+/// a service that is divided by key, the newest known map row must also name
+/// this session as owner under the returned epoch, and the former owner must
+/// have yielded the shard, or the former owner's lease must provably have
+/// ended. The configuration version never decreases.
 ///
 /// Not thread-safe; performs no I/O and reads no clock.
 class Coordinator {
--- a/include/balsamwheel/detail/coordination/load_balancer.h
+++ b/include/balsamwheel/detail/coordination/load_balancer.h
@@ -14,9 +14,9 @@
 /// Plans moves for a service when there is a recent load report from each of
 /// its owners.
 ///
-/// Invariant: at most 1 % of a service's shards, but at least one shard, may be
-/// moved within a minute; no move makes its receiver the owner with the highest
-/// load.
+/// Invariant: within a minute no more than 1 % of a service's shards are moved,
+/// except that one move is always allowed; no move makes the new owner the one
+/// with the highest load.
 class LoadBalancer {
 public:
   void onReport(const OwnerReport &Report, TimePoint Now);
--- a/include/balsamwheel/detail/coordination/planner.h
+++ b/include/balsamwheel/detail/coordination/planner.h
@@ -12,8 +12,8 @@
 /// A move that the load balancer requests: one shard to another member.
 struct LoadMove {
   ShardRef m_Shard;
-  SessionId m_Sender;
-  SessionId m_Receiver;
+  SessionId m_OldOwner;
+  SessionId m_NewOwner;
 };
 
 /// Shards whose handover is complete, so that the former owner can be removed
--- a/src/coordination/load_balancer.cpp
+++ b/src/coordination/load_balancer.cpp
@@ -12,7 +12,8 @@
 constexpr double MaxPeakToMean = 1.20;
 /// A move must lower the highest load by at least this fraction of the mean.
 constexpr double MinPeakReduction = 0.10;
-/// A mean load below this, in requests per second, is treated as noise.
+/// A mean load per owner below this, in requests per second, is treated as
+/// noise.
 constexpr double MinMeanRate = 5;
 /// The load must be imbalanced for this long before the first move.
 constexpr Duration MinImbalanceTime = std::chrono::seconds(4);
@@ -112,22 +113,25 @@
   for (std::size_t Moves = 0;
        Moves < MaxMovesPerRound && State.m_MoveTimes.size() < MovesPerPeriod;
        ++Moves) {
-    const auto Sender = std::ranges::max_element(Owners, {}, &Owner::m_Rate);
-    const auto Receiver = std::ranges::min_element(Owners, {}, &Owner::m_Rate);
+    const auto MostLoaded =
+        std::ranges::max_element(Owners, {}, &Owner::m_Rate);
+    const auto LeastLoaded =
+        std::ranges::min_element(Owners, {}, &Owner::m_Rate);
     const OwnerReport::Load *Shard =
-        bestShard(Sender->m_Hottest, Sender->m_Rate, Receiver->m_Rate,
-                  MinPeakReduction * Mean);
-    if (!Shard || Sender->m_Rate <= MaxPeakToMean * Mean)
+        bestShard(MostLoaded->m_Hottest, MostLoaded->m_Rate,
+                  LeastLoaded->m_Rate, MinPeakReduction * Mean);
+    if (!Shard || MostLoaded->m_Rate <= MaxPeakToMean * Mean)
       break;
     const OwnerReport::Load Moved = *Shard;
     Result.push_back({.m_Shard = Moved.m_Shard,
-                      .m_Sender = Sender->m_Session,
-                      .m_Receiver = Receiver->m_Session});
-    Sender->m_Rate -= Moved.m_Rate;
-    Receiver->m_Rate += Moved.m_Rate;
-    std::erase_if(Sender->m_Hottest, [&Moved](const OwnerReport::Load &Value) {
-      return Value.m_Shard == Moved.m_Shard;
-    });
+                      .m_OldOwner = MostLoaded->m_Session,
+                      .m_NewOwner = LeastLoaded->m_Session});
+    MostLoaded->m_Rate -= Moved.m_Rate;
+    LeastLoaded->m_Rate += Moved.m_Rate;
+    std::erase_if(MostLoaded->m_Hottest,
+                  [&Moved](const OwnerReport::Load &Value) {
+                    return Value.m_Shard == Moved.m_Shard;
+                  });
     State.m_MoveTimes.push_back(Now);
     State.m_CooldownEnd = Now + Cooldown;
   }
--- a/src/coordination/plan_runner.cpp
+++ b/src/coordination/plan_runner.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Hash seed of the planner order; any fixed value.
+/// Hash seed of the planner order; the same for all members.
 constexpr std::uint64_t PlannerSeed = 0x706c616e;
 /// A member waits this long for each member before it in the planner order.
 constexpr Duration RankDelay = std::chrono::milliseconds(300);
--- a/src/coordination/planner.cpp
+++ b/src/coordination/planner.cpp
@@ -142,9 +142,9 @@
       const std::uint32_t Shard = Move.m_Shard.m_Shard.value();
       if (Move.m_Shard.m_Service != m_Service.m_Name || Shard >= m_ShardCount)
         continue;
-      if (entry(Shard).m_Owner == Move.m_Sender && isMovable(Shard) &&
-          m_Placement.contains(Move.m_Receiver))
-        assign(Shard, Move.m_Receiver);
+      if (entry(Shard).m_Owner == Move.m_OldOwner && isMovable(Shard) &&
+          m_Placement.contains(Move.m_NewOwner))
+        assign(Shard, Move.m_NewOwner);
     }
   }
 
