--- a/include/balsamwheel/detail/keyspace/hold_ledger.h
+++ b/include/balsamwheel/detail/keyspace/hold_ledger.h
@@ -91,7 +91,7 @@
 
   /// Returns the keys that the map takes away from this target and that the
   /// target has released.
-  std::vector<ReleasedSpan> completions(const KeyMap &Map) const;
+  std::vector<ReleasedSpan> completedReleases(const KeyMap &Map) const;
 
 private:
   /// Heartbeats since the last change of the grants after which keys that are
--- a/include/balsamwheel/detail/keyspace/key_map.h
+++ b/include/balsamwheel/detail/keyspace/key_map.h
@@ -22,7 +22,7 @@
   std::string m_Id;
   /// Start time in milliseconds since the Unix epoch; orders the incarnations
   /// on one instance.
-  std::int64_t m_BornMs = 0;
+  std::int64_t m_StartTimeMs = 0;
 
   auto operator<=>(const TargetIncarnation &) const = default;
 };
@@ -54,7 +54,7 @@
   /// The present owner, or the last one of keys that have none.
   KeyOwner m_Owner;
   /// Owner after the release; only for SpanState::Releasing.
-  KeyOwner m_Heir;
+  KeyOwner m_NextOwner;
   /// Fencing token of m_Owner; 0 when there was no owner yet.
   Epoch m_Fence;
   /// Handover token that the present owner got with the keys; empty when the
--- a/include/balsamwheel/detail/keyspace/key_planner.h
+++ b/include/balsamwheel/detail/keyspace/key_planner.h
@@ -15,17 +15,17 @@
 
 /// The load of a service's keys is measured in slices of equal size. A hot
 /// range is typically 60 to 200 keys long.
-inline constexpr std::size_t KeySlices = 1024;
-inline constexpr std::uint32_t KeysPerSlice = KeyCount / KeySlices;
+inline constexpr std::size_t KeySliceCount = 1024;
+inline constexpr std::uint32_t KeysPerSlice = KeyCount / KeySliceCount;
 /// Load of the keys of each slice: slot time per second, i.e. the mean number
 /// of busy slots.
-using SliceLoads = std::array<float, KeySlices>;
+using SliceLoads = std::array<float, KeySliceCount>;
 
 enum class TargetCondition : std::uint8_t {
   /// May keep and get keys.
-  Fit,
+  Eligible,
   /// Keeps its keys, but gets no new ones.
-  Shaken,
+  NoNewKeys,
   /// Alive, but has to release its keys with a handover.
   Leaving,
   /// Certainly holds no keys any more.
@@ -36,7 +36,7 @@
 
 struct KeyCandidate {
   KeyOwner m_Owner;
-  TargetCondition m_Condition = TargetCondition::Fit;
+  TargetCondition m_Condition = TargetCondition::Eligible;
   /// Capacity relative to a usual target, whose capacity is 1.
   double m_Capacity = 1;
 };
--- a/include/balsamwheel/detail/load/link_delay.h
+++ b/include/balsamwheel/detail/load/link_delay.h
@@ -25,7 +25,7 @@
   /// of the window. Complexity: constant.
   ///
   /// \param SentAt sender's clock at sending, microseconds.
-  Duration note(std::int64_t SentAt, TimePoint Now) {
+  Duration recordFrame(std::int64_t SentAt, TimePoint Now) {
     const Duration Offset = Now.time_since_epoch() - Duration(SentAt);
     if (!m_WindowEnd || Now >= *m_WindowEnd) {
       m_PreviousMin = m_CurrentMin;
--- a/include/balsamwheel/detail/load/request_gate.h
+++ b/include/balsamwheel/detail/load/request_gate.h
@@ -87,7 +87,7 @@
 
 /// Performs no I/O and reads no clock; not thread-safe. Invariants: running()
 /// grows only while it is below slots() and the gate is open; a queued request
-/// leaves the queue exactly once, by next(), expire(), withdraw() or shut().
+/// leaves the queue exactly once, by next(), expire(), withdraw() or close().
 class RequestGate {
 public:
   explicit RequestGate(RequestGateOptions Options) : m_Options(Options) {}
@@ -97,7 +97,7 @@
   /// Closes the gate: nothing more is sent.
   ///
   /// \returns the requests that were waiting; none of them was sent.
-  std::vector<RequestHandle> shut();
+  std::vector<RequestHandle> close();
   bool isOpen() const { return m_Slots > 0; }
   /// Limits the target, which is cold, to \p Rate requests per second until
   /// \p Until.
--- a/include/balsamwheel/detail/load/target_board.h
+++ b/include/balsamwheel/detail/load/target_selector.h
@@ -17,7 +17,7 @@
 
 namespace balsamwheel {
 
-struct TargetBoardOptions {
+struct TargetSelectorOptions {
   /// Number of targets drawn at random, of which the best is chosen. All
   /// entrances see the same reports, which are some tenths of a second old:
   /// without sampling they would all send to the same target until the next
@@ -50,9 +50,9 @@
 };
 
 /// Performs no I/O and reads no clock; not thread-safe.
-class TargetBoard {
+class TargetSelector {
 public:
-  explicit TargetBoard(TargetBoardOptions Options) : m_Options(Options) {}
+  explicit TargetSelector(TargetSelectorOptions Options) : m_Options(Options) {}
 
   void report(const InstanceName &Target, const GateReport &Report);
   void forget(const InstanceName &Target);
@@ -96,7 +96,7 @@
               Duration Completion) const;
   double failureRate(const Entry &Target, TimePoint Now) const;
 
-  TargetBoardOptions m_Options;
+  TargetSelectorOptions m_Options;
   std::map<InstanceName, Entry> m_Entries;
 };
 
--- a/src/keyspace/hold_ledger.cpp
+++ b/src/keyspace/hold_ledger.cpp
@@ -85,10 +85,11 @@
 bool HoldLedger::owns(const KeyMap &Map, KeyIndex Key) const {
   const KeySpan &Span = Map.find(Key);
   return (Span.m_State == SpanState::Owned && Span.m_Owner == m_Self) ||
-         (Span.m_State == SpanState::Releasing && Span.m_Heir == m_Self);
+         (Span.m_State == SpanState::Releasing && Span.m_NextOwner == m_Self);
 }
 
-std::vector<ReleasedSpan> HoldLedger::completions(const KeyMap &Map) const {
+std::vector<ReleasedSpan>
+HoldLedger::completedReleases(const KeyMap &Map) const {
   std::vector<ReleasedSpan> Result;
   for (const KeySpan &Span : Map.spans()) {
     const bool MustRelease = Span.m_State == SpanState::Releasing ||
--- a/src/keyspace/key_map.cpp
+++ b/src/keyspace/key_map.cpp
@@ -11,20 +11,20 @@
 using nlohmann::json;
 
 json encodeOwner(const KeyOwner &Owner) {
-  return json::array(
-      {Owner.m_Instance.value(), Owner.m_Target.m_Id, Owner.m_Target.m_BornMs});
+  return json::array({Owner.m_Instance.value(), Owner.m_Target.m_Id,
+                      Owner.m_Target.m_StartTimeMs});
 }
 
 KeyOwner decodeOwner(const json &Encoded) {
   return {.m_Instance = InstanceName(Encoded.at(0).get<std::string>()),
           .m_Target = {.m_Id = Encoded.at(1).get<std::string>(),
-                       .m_BornMs = Encoded.at(2).get<std::int64_t>()}};
+                       .m_StartTimeMs = Encoded.at(2).get<std::int64_t>()}};
 }
 
 bool sameExceptKeys(const KeySpan &Left, const KeySpan &Right) {
   return Left.m_State == Right.m_State && Left.m_Owner == Right.m_Owner &&
-         Left.m_Heir == Right.m_Heir && Left.m_Fence == Right.m_Fence &&
-         Left.m_Handover == Right.m_Handover;
+         Left.m_NextOwner == Right.m_NextOwner &&
+         Left.m_Fence == Right.m_Fence && Left.m_Handover == Right.m_Handover;
 }
 
 bool coversAllKeys(const std::vector<KeySpan> &Spans) {
@@ -88,7 +88,7 @@
   json Spans = json::array();
   for (const KeySpan &Span : m_Spans)
     Spans.push_back({Span.m_First, Span.m_Last, static_cast<int>(Span.m_State),
-                     encodeOwner(Span.m_Owner), encodeOwner(Span.m_Heir),
+                     encodeOwner(Span.m_Owner), encodeOwner(Span.m_NextOwner),
                      Span.m_Fence.value(), Span.m_Handover});
   return json{{"last_fence", m_LastFence}, {"spans", std::move(Spans)}}.dump();
 }
@@ -107,7 +107,7 @@
                              .m_Last = Each.at(1).get<KeyIndex>(),
                              .m_State = static_cast<SpanState>(State),
                              .m_Owner = decodeOwner(Each.at(3)),
-                             .m_Heir = decodeOwner(Each.at(4)),
+                             .m_NextOwner = decodeOwner(Each.at(4)),
                              .m_Fence = Epoch(Each.at(5).get<std::uint64_t>()),
                              .m_Handover = Each.at(6).get<std::string>()});
     }
--- a/src/keyspace/key_planner.cpp
+++ b/src/keyspace/key_planner.cpp
@@ -47,7 +47,7 @@
 double eligibleCapacity(const std::vector<KeyCandidate> &Candidates) {
   double Sum = 0;
   for (const KeyCandidate &Each : Candidates)
-    if (Each.m_Condition == TargetCondition::Fit)
+    if (Each.m_Condition == TargetCondition::Eligible)
       Sum += Each.m_Capacity;
   return Sum;
 }
@@ -56,7 +56,7 @@
 class LoadIndex {
 public:
   explicit LoadIndex(const SliceLoads &Loads) {
-    for (std::size_t Slice = 0; Slice < KeySlices; ++Slice)
+    for (std::size_t Slice = 0; Slice < KeySliceCount; ++Slice)
       m_PerKey[Slice] = Loads[Slice] / KeysPerSlice + BaseLoadPerKey;
   }
 
@@ -72,7 +72,7 @@
   }
 
 private:
-  std::array<double, KeySlices> m_PerKey{};
+  std::array<double, KeySliceCount> m_PerKey{};
 };
 
 /// Load of one eligible target under the plan so far.
@@ -96,7 +96,7 @@
         m_Loads(capSliceLoads(Loads, eligibleCapacity(Candidates))) {
     for (const KeyCandidate &Each : Candidates) {
       m_Conditions[Each.m_Owner] = Each.m_Condition;
-      if (Each.m_Condition == TargetCondition::Fit)
+      if (Each.m_Condition == TargetCondition::Eligible)
         m_Eligible.push_back({.m_Candidate = Each});
     }
     for (const KeySpan &Span : m_Map.spans())
@@ -170,7 +170,7 @@
       ++Move;
       const double Load = m_Loads.loadOf(Range->m_First, Range->m_Last);
       Range->m_State = SpanState::Releasing;
-      Range->m_Heir = LeastLoaded.m_Candidate.m_Owner;
+      Range->m_NextOwner = LeastLoaded.m_Candidate.m_Owner;
       m_Map.assign(*Range);
       MostLoaded.m_Load -= Load;
       LeastLoaded.m_Load += Load;
@@ -186,7 +186,8 @@
 
 private:
   static const KeyOwner &futureOwner(const KeySpan &Span) {
-    return Span.m_State == SpanState::Releasing ? Span.m_Heir : Span.m_Owner;
+    return Span.m_State == SpanState::Releasing ? Span.m_NextOwner
+                                                : Span.m_Owner;
   }
 
   void addLoad(const KeyOwner &Owner, double Load) {
@@ -319,7 +320,7 @@
     else if (Held && Owner == TargetCondition::Lost)
       Span.m_State = SpanState::Revoked;
     else if (Span.m_State == SpanState::Releasing &&
-             Builder.condition(Span.m_Heir) != TargetCondition::Fit)
+             Builder.condition(Span.m_NextOwner) != TargetCondition::Eligible)
       Span.m_State = SpanState::Owned;
     else if (Span.m_State == SpanState::Revoked) {
       auto Since = m_RevokedSince.find(revocationId(Span));
@@ -327,7 +328,7 @@
           (Since != m_RevokedSince.end() &&
            Now - Since->second >= m_Options.m_RevocationWait))
         Span.m_State = SpanState::Free;
-      else if (Owner == TargetCondition::Fit ||
+      else if (Owner == TargetCondition::Eligible ||
                Owner == TargetCondition::Leaving)
         Span.m_State = SpanState::Owned;
     }
@@ -341,7 +342,7 @@
       Builder.distribute(Span, [&](KeySpan &Part, const KeyOwner &Receiver) {
         Part.m_State = SpanState::Owned;
         Part.m_Owner = Receiver;
-        Part.m_Heir = {};
+        Part.m_NextOwner = {};
         Part.m_Fence = Builder.map().issueFence();
         Part.m_Handover.clear();
       });
@@ -349,7 +350,7 @@
              Builder.condition(Span.m_Owner) == TargetCondition::Leaving)
       Builder.distribute(Span, [](KeySpan &Part, const KeyOwner &Receiver) {
         Part.m_State = SpanState::Releasing;
-        Part.m_Heir = Receiver;
+        Part.m_NextOwner = Receiver;
       });
   if (!Builder.hasPendingChanges())
     Builder.rebalance(m_Options.m_Tolerance);
@@ -362,12 +363,12 @@
   for (KeySpan Span : Map.spans()) {
     if (Span.m_Owner.m_Instance != Present.m_Instance ||
         Span.m_Owner.m_Target == Present.m_Target ||
-        Span.m_Owner.m_Target.m_BornMs > Present.m_Target.m_BornMs ||
+        Span.m_Owner.m_Target.m_StartTimeMs > Present.m_Target.m_StartTimeMs ||
         Span.m_State == SpanState::Free)
       continue;
     Span.m_State = SpanState::Owned;
     Span.m_Owner = Present;
-    Span.m_Heir = {};
+    Span.m_NextOwner = {};
     Span.m_Handover.clear();
     Span.m_Fence = Result.issueFence();
     Result.assign(Span);
@@ -385,8 +386,8 @@
     Span.m_First = std::max(Span.m_First, First);
     Span.m_Last = std::min(Span.m_Last, Last);
     if (Span.m_State == SpanState::Releasing) {
-      Span.m_Owner = Span.m_Heir;
-      Span.m_Heir = {};
+      Span.m_Owner = Span.m_NextOwner;
+      Span.m_NextOwner = {};
       Span.m_State = SpanState::Owned;
       Span.m_Handover = Token;
       Span.m_Fence = Result.issueFence();
--- a/src/load/request_gate.cpp
+++ b/src/load/request_gate.cpp
@@ -17,7 +17,7 @@
 
 void RequestGate::open(std::uint32_t Slots) { m_Slots = Slots; }
 
-std::vector<RequestHandle> RequestGate::shut() {
+std::vector<RequestHandle> RequestGate::close() {
   m_Slots = 0;
   std::vector<RequestHandle> Result;
   Result.reserve(m_Waiting.size());
--- a/src/load/target_board.cpp
+++ b/src/load/target_selector.cpp
@@ -1,5 +1,5 @@
 // Chooses the target of a service with the least expected completion time.
-#include "balsamwheel/detail/load/target_board.h"
+#include "balsamwheel/detail/load/target_selector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,28 +9,30 @@
 
 namespace balsamwheel {
 
-void TargetBoard::report(const InstanceName &Target, const GateReport &Report) {
+void TargetSelector::report(const InstanceName &Target,
+                            const GateReport &Report) {
   Entry &Known = m_Entries[Target];
   Known.m_Report = Report;
   Known.m_SentSinceReport = 0;
 }
 
-void TargetBoard::forget(const InstanceName &Target) {
+void TargetSelector::forget(const InstanceName &Target) {
   m_Entries.erase(Target);
 }
 
-void TargetBoard::sent(const InstanceName &Target) {
+void TargetSelector::sent(const InstanceName &Target) {
   ++m_Entries[Target].m_SentSinceReport;
 }
 
-double TargetBoard::failureRate(const Entry &Target, TimePoint Now) const {
+double TargetSelector::failureRate(const Entry &Target, TimePoint Now) const {
   const double HalfLives =
       static_cast<double>((Now - Target.m_FailureRateAt).count()) /
       static_cast<double>(m_Options.m_FailureHalfLife.count());
   return Target.m_FailureRate * std::exp2(-std::max(0.0, HalfLives));
 }
 
-void TargetBoard::done(const InstanceName &Target, bool Failed, TimePoint Now) {
+void TargetSelector::done(const InstanceName &Target, bool Failed,
+                          TimePoint Now) {
   auto Found = m_Entries.find(Target);
   if (Found == m_Entries.end())
     return;
@@ -42,8 +44,8 @@
 }
 
 std::optional<Duration>
-TargetBoard::expectedCompletion(const InstanceName &Target,
-                                TimePoint Now) const {
+TargetSelector::expectedCompletion(const InstanceName &Target,
+                                   TimePoint Now) const {
   auto Found = m_Entries.find(Target);
   if (Found == m_Entries.end() || Found->second.m_Report.m_Slots == 0)
     return std::nullopt;
@@ -61,8 +63,8 @@
   return Duration(static_cast<Duration::rep>(Total));
 }
 
-double TargetBoard::cost(const Candidate &Option, bool LargeAnswer,
-                         Duration Completion) const {
+double TargetSelector::cost(const Candidate &Option, bool LargeAnswer,
+                            Duration Completion) const {
   auto Cost = static_cast<double>(Completion.count());
   const GateReport &Report = m_Entries.at(Option.m_Target).m_Report;
   if (LargeAnswer && !Option.m_Local)
@@ -74,8 +76,8 @@
 }
 
 std::optional<InstanceName>
-TargetBoard::choose(std::span<const Candidate> Candidates, bool LargeAnswer,
-                    std::uint64_t Random, TimePoint Now) const {
+TargetSelector::choose(std::span<const Candidate> Candidates, bool LargeAnswer,
+                       std::uint64_t Random, TimePoint Now) const {
   struct OpenCandidate {
     const Candidate *m_Candidate;
     double m_Cost;
--- a/src/router/entrance.cpp
+++ b/src/router/entrance.cpp
@@ -22,11 +22,11 @@
 
 Entrance::Entrance(EventLoop &Loop, EventLog &Log,
                    const RouterSettings &Settings, const ExchangeFormat &Format,
-                   TargetAgent &Agent, PeerMesh &Mesh, TargetBoard &Board,
+                   TargetAgent &Agent, PeerMesh &Mesh, TargetSelector &Selector,
                    RouterMetrics &Metrics, EntranceOptions Options,
                    EntranceCallbacks Callbacks)
     : m_Loop(Loop), m_Log(Log), m_Settings(Settings), m_Format(Format),
-      m_Agent(Agent), m_Mesh(Mesh), m_Board(Board), m_Metrics(Metrics),
+      m_Agent(Agent), m_Mesh(Mesh), m_Selector(Selector), m_Metrics(Metrics),
       m_Options(Options), m_Callbacks(std::move(Callbacks)),
       m_Retries(Options.m_Retries),
       m_Random(std::hash<InstanceName>()(Settings.m_Instance)) {}
@@ -93,7 +93,8 @@
   case SpanState::Releasing:
     // The owner serves until its next heartbeat; once it has refused the
     // request, the next owner holds it until the keys are granted.
-    return Entry.m_Excluded.contains(Owner) ? Span.m_Heir.m_Instance : Owner;
+    return Entry.m_Excluded.contains(Owner) ? Span.m_NextOwner.m_Instance
+                                            : Owner;
   case SpanState::Owned:
   case SpanState::Revoked:
     return Owner;
@@ -102,14 +103,14 @@
 }
 
 std::optional<InstanceName> Entrance::choose(const ActiveRequest &Entry) {
-  std::vector<TargetBoard::Candidate> Candidates =
+  std::vector<TargetSelector::Candidate> Candidates =
       m_Callbacks.m_Candidates(Entry.m_Service);
-  std::erase_if(Candidates, [&](const TargetBoard::Candidate &Each) {
+  std::erase_if(Candidates, [&](const TargetSelector::Candidate &Each) {
     return Entry.m_Excluded.contains(Each.m_Target);
   });
-  return m_Board.choose(Candidates,
-                        Entry.m_Route->m_Kind == RouteKind::Download,
-                        m_Random(), m_Loop.now());
+  return m_Selector.choose(Candidates,
+                           Entry.m_Route->m_Kind == RouteKind::Download,
+                           m_Random(), m_Loop.now());
 }
 
 void Entrance::dispatch(Id Request) {
@@ -146,7 +147,7 @@
   ActiveRequest &Entry = m_Active.at(Request);
   Entry.m_Destination = Destination;
   ++Entry.m_Forwards;
-  m_Board.sent(Destination);
+  m_Selector.sent(Destination);
   const TimePoint Now = m_Loop.now();
   const Route &Matched = *Entry.m_Route;
   if (Destination == m_Settings.m_Instance) {
@@ -222,9 +223,9 @@
   const bool AttemptFailed =
       Result.m_Outcome == Outcome::Unknown ||
       (Result.m_Outcome == Outcome::Done && Result.m_Answer.m_Status >= 500);
-  m_Board.done(Entry.m_Destination,
-               AttemptFailed || Result.m_Reason == Reason::TargetFailed,
-               m_Loop.now());
+  m_Selector.done(Entry.m_Destination,
+                  AttemptFailed || Result.m_Reason == Reason::TargetFailed,
+                  m_Loop.now());
   if (Result.m_Outcome == Outcome::Done) {
     if (AttemptFailed && Entry.m_Route->idempotent() && acquireRetry(Entry))
       return dispatch(Request);
@@ -268,7 +269,8 @@
   // A keyed request is retried at the same owner, any other at another
   // instance.
   const InstanceName Destination = choose(Entry).value_or(Entry.m_Destination);
-  const auto Expected = m_Board.expectedCompletion(Destination, m_Loop.now());
+  const auto Expected =
+      m_Selector.expectedCompletion(Destination, m_Loop.now());
   const double MinTimeLeft =
       m_Options.m_MinRetryTimeRatio *
       static_cast<double>(
--- a/src/router/entrance.h
+++ b/src/router/entrance.h
@@ -9,7 +9,7 @@
 #include "target_agent.h"
 
 #include "balsamwheel/detail/load/retry_budget.h"
-#include "balsamwheel/detail/load/target_board.h"
+#include "balsamwheel/detail/load/target_selector.h"
 #include "balsamwheel/detail/routing/route_table.h"
 
 #include "net/http_server.h"
@@ -27,7 +27,7 @@
   /// Null when the service's key map isn't known.
   std::function<const KeyMap *(const ServiceName &)> m_KeyMap;
   /// Instances whose targets can serve the service.
-  std::function<std::vector<TargetBoard::Candidate>(const ServiceName &)>
+  std::function<std::vector<TargetSelector::Candidate>(const ServiceName &)>
       m_Candidates;
 };
 
@@ -57,8 +57,8 @@
 public:
   Entrance(EventLoop &Loop, EventLog &Log, const RouterSettings &Settings,
            const ExchangeFormat &Format, TargetAgent &Agent, PeerMesh &Mesh,
-           TargetBoard &Board, RouterMetrics &Metrics, EntranceOptions Options,
-           EntranceCallbacks Callbacks);
+           TargetSelector &Selector, RouterMetrics &Metrics,
+           EntranceOptions Options, EntranceCallbacks Callbacks);
 
   /// Takes a request from a caller; it is answered through \p Exchange.
   void accept(std::shared_ptr<HttpExchange> Exchange);
@@ -132,7 +132,7 @@
   const ExchangeFormat &m_Format;
   TargetAgent &m_Agent;
   PeerMesh &m_Mesh;
-  TargetBoard &m_Board;
+  TargetSelector &m_Selector;
   RouterMetrics &m_Metrics;
   EntranceOptions m_Options;
   EntranceCallbacks m_Callbacks;
--- a/src/router/key_coordinator.cpp
+++ b/src/router/key_coordinator.cpp
@@ -46,7 +46,7 @@
       Next = adoptEarlierIncarnations(Next, *Self);
     if (m_Agent.condition() == TargetCondition::Ended)
       Next = freeOwnedBy(Next, *Self);
-    for (const ReleasedSpan &Each : m_Agent.ledger()->completions(Next))
+    for (const ReleasedSpan &Each : m_Agent.ledger()->completedReleases(Next))
       Next = completeRelease(Next, *Self, Each.m_First, Each.m_Last,
                              Each.m_Handover);
   }
--- a/src/router/peer_mesh.cpp
+++ b/src/router/peer_mesh.cpp
@@ -179,7 +179,7 @@
       Remote.m_Link->close();
       return inboundEnded(LinkId);
     }
-    Remote.m_Delay.note(Frame.sent_at, m_Loop.now());
+    Remote.m_Delay.recordFrame(Frame.sent_at, m_Loop.now());
     Remote.m_Instance = InstanceName(Frame.instance);
     Remote.m_Service = ServiceName(Frame.service);
     // A peer that can connect to this daemon is probably reachable, too.
@@ -189,7 +189,8 @@
     return;
   }
   case LinkFrameKind::Request: {
-    const Duration Waited = Remote.m_Delay.note(Frame.sent_at, m_Loop.now());
+    const Duration Waited =
+        Remote.m_Delay.recordFrame(Frame.sent_at, m_Loop.now());
     Frame.objective_left -= Waited.count();
     Frame.deadline_left -= Waited.count();
     return m_Events.m_OnRequest(LinkId, Frame, std::move(Body));
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -85,7 +85,7 @@
                const ExchangeFormat &Format, const OperatorRows &Operators,
                TableService &Table, RouterMetrics &Metrics, EventLog &Log)
     : m_Loop(Loop), m_Log(Log), m_Settings(std::move(Settings)),
-      m_Operators(Operators), m_Table(Table), m_Board({}),
+      m_Operators(Operators), m_Table(Table), m_Selector({}),
       m_Agent(Loop, Log, m_Settings, Format, agentOptions(m_Settings)),
       m_Mesh(
           Loop, Log, m_Settings, {},
@@ -116,14 +116,14 @@
            .m_OnRowsWanted =
                [this](const LinkFrame &Wanted) { return rowsFor(Wanted); },
            .m_OnPeerDown =
-               [this](const InstanceName &Peer) { m_Board.forget(Peer); }}),
+               [this](const InstanceName &Peer) { m_Selector.forget(Peer); }}),
       m_Follower(
           Loop, Log, Table,
           {.m_BytesPerSecond = RowsLinkRatio * m_Settings.m_LinkBytesPerSecond},
           std::hash<InstanceName>()(m_Settings.m_Instance),
           [this](const MirroredRow &Row) { rowChanged(Row); }),
       m_Entrance(
-          Loop, Log, m_Settings, Format, m_Agent, m_Mesh, m_Board, Metrics,
+          Loop, Log, m_Settings, Format, m_Agent, m_Mesh, m_Selector, Metrics,
           {.m_Retries = {.m_Ratio = m_Settings.m_RetryRatio / 2, .m_Burst = 4}},
           {.m_Routes = [this] { return m_Routes; },
            .m_KeyMap =
@@ -342,9 +342,9 @@
   return Preceding < OwnTableWatchers;
 }
 
-std::vector<TargetBoard::Candidate>
+std::vector<TargetSelector::Candidate>
 Router::candidates(const ServiceName &Service) const {
-  std::vector<TargetBoard::Candidate> Result;
+  std::vector<TargetSelector::Candidate> Result;
   for (const Member &Each : m_Members) {
     const bool Local = Each.m_Instance == m_Settings.m_Instance;
     if (Each.m_Service == Service && (Local || m_Mesh.isUp(Each.m_Instance)))
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -85,14 +85,14 @@
   bool isKeyPlanner() const;
   /// Whether this daemon is one of the few that watch the own table.
   bool isWatcher() const;
-  std::vector<TargetBoard::Candidate>
+  std::vector<TargetSelector::Candidate>
   candidates(const ServiceName &Service) const;
   const KeyMap *keyMap(const ServiceName &Service) const;
 
   /// State of a peer's target, as last reported by the peer.
   struct PeerTarget {
     KeyOwner m_Owner;
-    TargetCondition m_Condition = TargetCondition::Shaken;
+    TargetCondition m_Condition = TargetCondition::NoNewKeys;
     double m_Capacity = 1;
     /// The peer can reach the platform's table.
     bool m_ReachesTable = false;
@@ -110,7 +110,7 @@
   const RouterSettings m_Settings;
   const OperatorRows &m_Operators;
   TableService &m_Table;
-  TargetBoard m_Board;
+  TargetSelector m_Selector;
   TargetAgent m_Agent;
   PeerMesh m_Mesh;
   RowCatchUp m_RowCatchUp;
--- a/src/router/router_keys.cpp
+++ b/src/router/router_keys.cpp
@@ -27,7 +27,7 @@
     if (Down)
       Condition = m_Loop.now() - *Down > OwnerLossTimeout
                       ? TargetCondition::Lost
-                      : TargetCondition::Shaken;
+                      : TargetCondition::NoNewKeys;
     Result.push_back({.m_Owner = Known->second.m_Owner,
                       .m_Condition = Condition,
                       .m_Capacity = Known->second.m_Capacity});
@@ -75,7 +75,7 @@
   SliceLoads Sum = m_Agent.sliceRates();
   for (const auto &[Peer, Known] : m_PeerTargets)
     if (m_Mesh.isUp(Peer))
-      for (std::size_t Slice = 0; Slice < KeySlices; ++Slice)
+      for (std::size_t Slice = 0; Slice < KeySliceCount; ++Slice)
         Sum[Slice] += Known.m_Rates[Slice];
   return Sum;
 }
--- a/src/router/router_peers.cpp
+++ b/src/router/router_peers.cpp
@@ -76,7 +76,7 @@
   Report.gate = gateToWire(m_Agent.gateReport());
   if (const auto Owner = m_Agent.owner()) {
     Report.target_id = Owner->m_Target.m_Id;
-    Report.target_born = Owner->m_Target.m_BornMs;
+    Report.target_born = Owner->m_Target.m_StartTimeMs;
   }
   Report.condition = static_cast<std::uint8_t>(m_Agent.condition());
   Report.capacity = m_Agent.capacity();
@@ -87,7 +87,7 @@
   Report.own_rows_seen =
       m_Follower.mirror().highestVersion(TableName::Own).value();
   if (m_Coordinator && WithRates)
-    for (std::size_t Slice = 0; Slice < KeySlices; ++Slice)
+    for (std::size_t Slice = 0; Slice < KeySliceCount; ++Slice)
       if (const float Rate = m_Agent.sliceRates()[Slice];
           Rate > MinReportedRate) {
         auto Each = std::make_unique<link_wire::SliceRateT>();
@@ -105,7 +105,7 @@
   m_Agent.decaySliceRates(Now - m_LastReport);
   m_LastReport = Now;
   const GateReport Gate = m_Agent.gateReport();
-  m_Board.report(m_Settings.m_Instance, Gate);
+  m_Selector.report(m_Settings.m_Instance, Gate);
   const bool WithRates =
       m_Coordinator && Now - m_LastRatesReport >= SliceRatesInterval;
   if (WithRates)
@@ -120,20 +120,20 @@
 
 void Router::handleReport(const InstanceName &Peer, const LinkFrame &Report) {
   if (Report.gate)
-    m_Board.report(Peer, gateFromWire(*Report.gate));
+    m_Selector.report(Peer, gateFromWire(*Report.gate));
   if (Report.kind != LinkFrameKind::Report)
     return;
   PeerTarget &Known = m_PeerTargets[Peer];
-  Known.m_Owner = {
-      .m_Instance = Peer,
-      .m_Target = {.m_Id = Report.target_id, .m_BornMs = Report.target_born}};
+  Known.m_Owner = {.m_Instance = Peer,
+                   .m_Target = {.m_Id = Report.target_id,
+                                .m_StartTimeMs = Report.target_born}};
   Known.m_Condition = static_cast<TargetCondition>(Report.condition);
   Known.m_Capacity = Report.capacity;
   Known.m_ReachesTable = Report.sees_table;
   if (Report.has_rates)
     Known.m_Rates.fill(0);
   for (const auto &Each : Report.slice_rates)
-    if (Each->slice < KeySlices)
+    if (Each->slice < KeySliceCount)
       Known.m_Rates[Each->slice] = Each->rate;
   const TableMirror &Mirror = m_Follower.mirror();
   const RowVersion OperatorsSeen = Mirror.highestVersion(TableName::Operators);
--- a/src/router/target_agent.cpp
+++ b/src/router/target_agent.cpp
@@ -43,7 +43,7 @@
 
 bool TargetAgent::onHeartbeat(const TargetHeartbeat &Heartbeat) {
   if (m_Target && Heartbeat.m_Target != *m_Target &&
-      Heartbeat.m_Target.m_BornMs <= m_Target->m_BornMs)
+      Heartbeat.m_Target.m_StartTimeMs <= m_Target->m_StartTimeMs)
     return false;
   if (m_Target == Heartbeat.m_Target && Heartbeat.m_Sequence <= m_LastSequence)
     return false;
@@ -71,10 +71,10 @@
   m_Log.write(LogClass::StateChange,
               LogLine("target_started")
                   .add("target", Heartbeat.m_Target.m_Id)
-                  .add("born_ms", Heartbeat.m_Target.m_BornMs)
+                  .add("born_ms", Heartbeat.m_Target.m_StartTimeMs)
                   .add("slots", std::int64_t{Heartbeat.m_Slots})
                   .add("cold_left", Heartbeat.m_ColdLeft));
-  shutGate(Reason::TargetFailed);
+  closeGate(Reason::TargetFailed);
   if (m_Client) {
     m_Client->reset();
     m_Loop.retire(std::move(m_Client));
@@ -85,7 +85,7 @@
   m_LastSequence = 0;
   m_Slots = Heartbeat.m_Slots;
   m_Leaving = false;
-  m_Loop.cancel(m_ShutTimer);
+  m_Loop.cancel(m_CloseTimer);
   HttpClientOptions Client;
   Client.m_MaxConnections = Heartbeat.m_Slots + SpareConnections;
   Client.m_UnacknowledgedLimit = TargetUnacknowledgedLimit;
@@ -115,8 +115,8 @@
   m_Loop.post([this] { sendQueued(); });
 }
 
-void TargetAgent::shutGate(Reason Why) {
-  std::vector<JobId> Rejected = m_Gate.shut();
+void TargetAgent::closeGate(Reason Why) {
+  std::vector<JobId> Rejected = m_Gate.close();
   Rejected.insert(Rejected.end(), m_AwaitingGrant.begin(),
                   m_AwaitingGrant.end());
   m_AwaitingGrant.clear();
@@ -125,14 +125,14 @@
 }
 
 void TargetAgent::scheduleShut(Duration Limit, Reason Why) {
-  m_Loop.cancel(m_ShutTimer);
+  m_Loop.cancel(m_CloseTimer);
   // Keys need time to be handed over; requests without a key can go to other
   // instances immediately.
   const bool HoldsKeys = m_Ledger && m_Ledger->heldUntil() > m_Loop.now();
   if (!HoldsKeys)
-    return shutGate(Why);
-  m_ShutTimer = m_Loop.after(Limit - m_Options.m_DrainMargin,
-                             [this, Why] { shutGate(Why); });
+    return closeGate(Why);
+  m_CloseTimer = m_Loop.after(Limit - m_Options.m_DrainMargin,
+                              [this, Why] { closeGate(Why); });
 }
 
 void TargetAgent::leave(const char *Why) {
@@ -151,7 +151,7 @@
   if (m_RefuseNew)
     return;
   m_RefuseNew = true;
-  shutGate(Reason::Draining);
+  closeGate(Reason::Draining);
 }
 
 void TargetAgent::setEvacuated(bool Evacuated) {
@@ -164,7 +164,7 @@
   if (Evacuated) {
     scheduleShut(m_Settings.m_EvacuationLimit, Reason::DomainOut);
   } else if (!m_Leaving) {
-    m_Loop.cancel(m_ShutTimer);
+    m_Loop.cancel(m_CloseTimer);
     openGate();
   }
 }
@@ -174,7 +174,7 @@
   if (!m_Target)
     return Now - m_StartedAt > m_Options.m_EarlierGrantsExpiry
                ? TargetCondition::Ended
-               : TargetCondition::Shaken;
+               : TargetCondition::NoNewKeys;
   const bool Silent =
       Now - m_LastHeartbeat >
       Duration(static_cast<Duration::rep>(
@@ -185,7 +185,8 @@
     return TargetCondition::Ended;
   if (leaving())
     return TargetCondition::Leaving;
-  return Silent || m_Stopping ? TargetCondition::Shaken : TargetCondition::Fit;
+  return Silent || m_Stopping ? TargetCondition::NoNewKeys
+                              : TargetCondition::Eligible;
 }
 
 GateReport TargetAgent::gateReport() const {
@@ -405,7 +406,7 @@
               LogLine("target_unreachable")
                   .add("target", m_Target->m_Id)
                   .add("since_beat", m_Loop.now() - m_LastHeartbeat));
-  shutGate(Reason::TargetFailed);
+  closeGate(Reason::TargetFailed);
   const TargetIncarnation RefusedTarget = *m_Target;
   m_Loop.after(m_Options.m_ConnectRetryDelay, [this, RefusedTarget] {
     if (m_Target == RefusedTarget)
--- a/src/router/target_agent.h
+++ b/src/router/target_agent.h
@@ -11,7 +11,7 @@
 #include "balsamwheel/detail/keyspace/key_planner.h"
 #include "balsamwheel/detail/load/link_budget.h"
 #include "balsamwheel/detail/load/request_gate.h"
-#include "balsamwheel/detail/load/target_board.h"
+#include "balsamwheel/detail/load/target_selector.h"
 #include "balsamwheel/detail/routing/route_table.h"
 
 #include "net/http_client.h"
@@ -74,15 +74,16 @@
   /// Maximum time for which a request waits for a key that is about to be
   /// granted.
   Duration m_MaxGrantWait = std::chrono::milliseconds(1200);
-  /// Time for which the gate stays shut after the target refused a connection.
+  /// Time for which the gate stays closed after the target refused a
+  /// connection.
   Duration m_ConnectRetryDelay = std::chrono::milliseconds(400);
   /// Reserved from the time limits of leaving targets, for requests in flight.
   Duration m_DrainMargin = std::chrono::milliseconds(500);
 };
 
-/// Invariants: nothing is sent while the gate is shut; a non-idempotent request
-/// is sent at most once; each job ends exactly once, by its callback or by
-/// cancel().
+/// Invariants: nothing is sent while the gate is closed; a non-idempotent
+/// request is sent at most once; each job ends exactly once, by its callback or
+/// by cancel().
 class TargetAgent {
 public:
   using JobId = RequestHandle;
@@ -150,7 +151,7 @@
   /// Opens the gate unless the state of the target or daemon forbids it.
   void openGate();
   void limitColdRate();
-  void shutGate(Reason Why);
+  void closeGate(Reason Why);
   void scheduleShut(Duration Limit, Reason Why);
   /// How long a request may wait for a key that is to be granted.
   Duration grantWaitLimit(const TargetJob &Entry) const;
@@ -185,7 +186,7 @@
   bool m_Stopping = false;
   bool m_RefuseNew = false;
   /// Shuts the gate a limited time after the target began to leave.
-  EventLoop::TimerId m_ShutTimer;
+  EventLoop::TimerId m_CloseTimer;
   EventLoop::TimerId m_SendTimer;
   EventLoop::TimerId m_ExpireTimer;
   std::uint64_t m_LastJob = 0;
--- a/src/router/unreported_owner.h
+++ b/src/router/unreported_owner.h
@@ -33,9 +33,9 @@
   if (Owner.m_Reachable && Owner.m_Reported)
     return *Owner.m_Reported == TargetCondition::Ended
                ? TargetCondition::Ended
-               : TargetCondition::Shaken;
+               : TargetCondition::NoNewKeys;
   if (Owner.m_DownFor && *Owner.m_DownFor <= OwnerLossTimeout)
-    return TargetCondition::Shaken;
+    return TargetCondition::NoNewKeys;
   return TargetCondition::Lost;
 }
 
--- a/tests/router_rig.h
+++ b/tests/router_rig.h
@@ -90,7 +90,7 @@
   HeartbeatReply sendHeartbeat(bool Draining = false, Duration ColdLeft = 0ms) {
     TargetHeartbeat Heartbeat;
     Heartbeat.m_Target = {.m_Id = "target-" + m_Settings.m_Instance.value(),
-                          .m_BornMs = m_Born};
+                          .m_StartTimeMs = m_Born};
     Heartbeat.m_Service = m_Settings.m_Service;
     Heartbeat.m_Address = m_Settings.m_Target;
     Heartbeat.m_Slots = 4;
--- a/tests/unit-hold-ledger.cpp
+++ b/tests/unit-hold-ledger.cpp
@@ -10,9 +10,9 @@
 
 const TimePoint Start{std::chrono::hours(1)};
 const KeyOwner Self{.m_Instance = InstanceName("i"),
-                    .m_Target = {.m_Id = "t", .m_BornMs = 1}};
+                    .m_Target = {.m_Id = "t", .m_StartTimeMs = 1}};
 const KeyOwner Other{.m_Instance = InstanceName("j"),
-                     .m_Target = {.m_Id = "u", .m_BornMs = 1}};
+                     .m_Target = {.m_Id = "u", .m_StartTimeMs = 1}};
 
 KeyMap ownedBy(const KeyOwner &Owner, SpanState State = SpanState::Owned) {
   KeyMap Map;
@@ -20,7 +20,7 @@
               .m_Last = 999,
               .m_State = State,
               .m_Owner = Owner,
-              .m_Heir = Other,
+              .m_NextOwner = Other,
               .m_Fence = Map.issueFence()});
   return Map;
 }
@@ -34,7 +34,7 @@
   CHECK(Ledger.grant(ownedBy(Self, SpanState::Releasing), Start).empty());
   CHECK(Ledger.grant(ownedBy(Self, SpanState::Revoked), Start).empty());
   KeyOwner Restarted = Self;
-  Restarted.m_Target.m_BornMs = 2;
+  Restarted.m_Target.m_StartTimeMs = 2;
   CHECK(HoldLedger({}, Restarted).grant(ownedBy(Self), Start).empty());
 }
 
@@ -54,13 +54,13 @@
   Ledger.report({});
   Ledger.grant(ownedBy(Self), Start);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
-  CHECK(Ledger.completions(Moving).empty());
+  CHECK(Ledger.completedReleases(Moving).empty());
   Ledger.report({.m_Holds = {{.m_First = 0, .m_Last = 999}}});
   Ledger.grant(Moving, Start + 1s);
-  CHECK(Ledger.completions(Moving).empty());
+  CHECK(Ledger.completedReleases(Moving).empty());
   Ledger.report(
       {.m_Released = {{.m_First = 0, .m_Last = 999, .m_Handover = "token"}}});
-  const auto Done = Ledger.completions(Moving);
+  const auto Done = Ledger.completedReleases(Moving);
   REQUIRE(Done.size() == 1);
   CHECK(Done[0].m_Handover == "token");
 }
@@ -71,11 +71,11 @@
   Ledger.grant(Moving, Start);
   for (int Beat = 0; Beat < 5; ++Beat) {
     Ledger.report({.m_Holds = {{.m_First = 10, .m_Last = 20}}});
-    CHECK(Ledger.completions(Moving).empty());
+    CHECK(Ledger.completedReleases(Moving).empty());
     Ledger.grant(Moving, Start + 1s);
   }
   Ledger.report({});
-  CHECK(Ledger.completions(Moving).size() == 1);
+  CHECK(Ledger.completedReleases(Moving).size() == 1);
 }
 
 TEST_CASE("after a daemon restart a span counts as released only after two "
@@ -83,9 +83,9 @@
   HoldLedger Ledger({}, Self);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
   Ledger.report({});
-  CHECK(Ledger.completions(Moving).empty());
+  CHECK(Ledger.completedReleases(Moving).empty());
   Ledger.report({});
-  const auto Done = Ledger.completions(Moving);
+  const auto Done = Ledger.completedReleases(Moving);
   REQUIRE(Done.size() == 1);
   CHECK(Done[0].m_Handover.empty());
 }
--- a/tests/unit-key-map.cpp
+++ b/tests/unit-key-map.cpp
@@ -13,7 +13,8 @@
 
 KeyOwner owner(int Index) {
   return {.m_Instance = InstanceName("i" + std::to_string(Index)),
-          .m_Target = {.m_Id = "t" + std::to_string(Index), .m_BornMs = Index}};
+          .m_Target = {.m_Id = "t" + std::to_string(Index),
+                       .m_StartTimeMs = Index}};
 }
 
 } // namespace
--- a/tests/unit-key-planner.cpp
+++ b/tests/unit-key-planner.cpp
@@ -19,7 +19,7 @@
   return {.m_Instance = InstanceName("i" + std::to_string(Index)),
           .m_Target = {.m_Id = "t" + std::to_string(Index) + "-" +
                                std::to_string(Born),
-                       .m_BornMs = Born}};
+                       .m_StartTimeMs = Born}};
 }
 
 std::vector<KeyCandidate> eligible(int Count) {
@@ -210,13 +210,13 @@
         Load = static_cast<float>(*rc::gen::inRange(0, 100)) / 50;
     KeyMap Map = settle(Planner, KeyMap(), Candidates, Loads);
     for (KeyCandidate &Each : Candidates)
-      Each.m_Condition =
-          *rc::gen::element(TargetCondition::Fit, TargetCondition::Shaken,
-                            TargetCondition::Leaving, TargetCondition::Ended);
+      Each.m_Condition = *rc::gen::element(
+          TargetCondition::Eligible, TargetCondition::NoNewKeys,
+          TargetCondition::Leaving, TargetCondition::Ended);
     Map = settle(Planner, Map, Candidates, Loads);
     const bool AnyFit =
         std::any_of(Candidates.begin(), Candidates.end(), [](const auto &Each) {
-          return Each.m_Condition == TargetCondition::Fit;
+          return Each.m_Condition == TargetCondition::Eligible;
         });
     for (const KeySpan &Span : Map.spans()) {
       if (!AnyFit)
--- a/tests/unit-request-gate.cpp
+++ b/tests/unit-request-gate.cpp
@@ -149,7 +149,7 @@
   RequestGate Gate = gateWithService(1, 100ms);
   CHECK(Gate.offer(request(1, 1s), Start).m_Verdict == GateVerdict::Send);
   CHECK(Gate.offer(request(2, 1s), Start).m_Verdict == GateVerdict::Wait);
-  CHECK(Gate.shut() == std::vector<RequestHandle>{RequestHandle(2)});
+  CHECK(Gate.close() == std::vector<RequestHandle>{RequestHandle(2)});
   const GateDecision Refused = Gate.offer(request(3, 1s), Start);
   CHECK(Refused.m_Verdict == GateVerdict::Refuse);
   CHECK(Refused.m_RetryAfter > Duration::zero());
--- a/tests/unit-unreported-owner.cpp
+++ b/tests/unit-unreported-owner.cpp
@@ -10,21 +10,21 @@
   // The daemon is reachable and its target is healthy, but of another service.
   CHECK(conditionOf({.m_Reachable = true,
                      .m_ServesOtherService = true,
-                     .m_Reported = TargetCondition::Fit}) ==
+                     .m_Reported = TargetCondition::Eligible}) ==
         TargetCondition::Lost);
 }
 
 TEST_CASE("an instance with a new target of the service adopts its keys") {
-  CHECK(
-      conditionOf({.m_Reachable = true, .m_Reported = TargetCondition::Fit}) ==
-      TargetCondition::Shaken);
+  CHECK(conditionOf(
+            {.m_Reachable = true, .m_Reported = TargetCondition::Eligible}) ==
+        TargetCondition::NoNewKeys);
   CHECK(conditionOf(
             {.m_Reachable = true, .m_Reported = TargetCondition::Ended}) ==
         TargetCondition::Ended);
 }
 
 TEST_CASE("an unreachable instance is lost only after a time-out") {
-  CHECK(conditionOf({.m_DownFor = 2s}) == TargetCondition::Shaken);
+  CHECK(conditionOf({.m_DownFor = 2s}) == TargetCondition::NoNewKeys);
   CHECK(conditionOf({.m_DownFor = 3s}) == TargetCondition::Lost);
   CHECK(conditionOf({}) == TargetCondition::Lost);
 }
