--- a/bench/capacity/fleet.cpp
+++ b/bench/capacity/fleet.cpp
@@ -87,8 +87,8 @@
   const Config Base = configFromRow(Rows[0]).value_or(Config{});
   Transaction Commit = makeConfigCommit(
       Rows[0], Base, Next, WriteId(m_Options.m_Seed + ++m_LastOrder));
-  appendHeadBump(Commit, *parseHeadRow(Rows[1]),
-                 {{ConfigHeadRow, Next.m_Version.value()}});
+  appendHeadUpdate(Commit, *parseHeadRow(Rows[1]),
+                   {{ConfigHeadRow, Next.m_Version.value()}});
   m_Table.commit(Commit);
 }
 
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -129,8 +129,8 @@
   First.m_Manifest.m_Services = {Orders};
   Transaction Commit =
       makeConfigCommit(Table.get(ConfigHeadRow), Config{}, First, WriteId(1));
-  appendHeadBump(Commit, *parseHeadRow(Table.get(HeadRowKey)),
-                 {{ConfigHeadRow, 1}});
+  appendHeadUpdate(Commit, *parseHeadRow(Table.get(HeadRowKey)),
+                   {{ConfigHeadRow, 1}});
   Table.commit(Commit);
 }
 
--- a/include/balsamwheel/detail/coordination/context.h
+++ b/include/balsamwheel/detail/coordination/context.h
@@ -28,7 +28,7 @@
   TableClient m_Table;
   ClusterView m_View;
   /// Changes of the view that the coordinator has not yet passed to its parts.
-  ClusterView::Change m_Changed;
+  ClusterView::Change m_PendingChange;
 
   /// Sends to a peer; messages to the local address are dropped.
   void send(const PeerAddress &Receiver, ControlMessage Message);
--- a/include/balsamwheel/detail/coordination/head_row.h
+++ b/include/balsamwheel/detail/coordination/head_row.h
@@ -34,7 +34,7 @@
 ///
 /// \param Current the head row as last read.
 /// \param Counters the new counter of each row that the transaction writes.
-void appendHeadBump(
+void appendHeadUpdate(
     Transaction &Commit, const HeadRow &Current,
     const std::vector<std::pair<RowKey, std::uint64_t>> &Counters);
 
--- a/src/cli/cluster_rows.cpp
+++ b/src/cli/cluster_rows.cpp
@@ -55,8 +55,8 @@
   for (int Try = 0; Try < MaxHeadConflicts; ++Try) {
     Transaction Commit = makeConfigCommit(Base.m_ConfigRow, Base.m_Config, Next,
                                           randomWriteId());
-    appendHeadBump(Commit, Base.m_Head,
-                   {{ConfigHeadRow, Next.m_Version.value()}});
+    appendHeadUpdate(Commit, Base.m_Head,
+                     {{ConfigHeadRow, Next.m_Version.value()}});
     const std::error_code Error = Table.commit(Commit, ConfigHeadRow);
     if (Error != CliError::Conflict)
       return Error;
--- a/src/coordination/context.cpp
+++ b/src/coordination/context.cpp
@@ -27,10 +27,11 @@
 
 void CoordinationContext::merge(const std::vector<Row> &Rows) {
   ClusterView::Change Next = m_View.merge(Rows);
-  m_Changed.m_Any = m_Changed.m_Any || Next.m_Any;
-  m_Changed.m_Members = m_Changed.m_Members || Next.m_Members;
-  m_Changed.m_Config = m_Changed.m_Config || Next.m_Config;
-  std::ranges::move(Next.m_MapRows, std::back_inserter(m_Changed.m_MapRows));
+  m_PendingChange.m_Any = m_PendingChange.m_Any || Next.m_Any;
+  m_PendingChange.m_Members = m_PendingChange.m_Members || Next.m_Members;
+  m_PendingChange.m_Config = m_PendingChange.m_Config || Next.m_Config;
+  std::ranges::move(Next.m_MapRows,
+                    std::back_inserter(m_PendingChange.m_MapRows));
 }
 
 SessionId CoordinationContext::newSession() {
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -265,11 +265,11 @@
 
   /// Notifies the components of changes of the view until there are none left.
   void dispatchChanges(TimePoint Now) {
-    while (m_Context.m_Changed.m_Any) {
+    while (m_Context.m_PendingChange.m_Any) {
       m_Membership.onViewChanged(Now);
       m_Ownership.update(Now);
       m_Planner.onViewChanged(Now);
-      m_Context.m_Changed = {};
+      m_Context.m_PendingChange = {};
       updateLeaving(Now);
       keepEarlier(m_SettledReportAt, Now + SettledReportPeriod);
     }
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -215,7 +215,7 @@
   Commit.m_Conditions.push_back({Key, Next.m_Version});
   Commit.m_Writes.push_back({Key, toValue(Next, Commit.m_Id)});
   if (Structural)
-    appendHeadBump(Commit, m_Context->m_View.head(), {{Key, Next.m_Counter}});
+    appendHeadUpdate(Commit, m_Context->m_View.head(), {{Key, Next.m_Counter}});
   m_Writing = true;
   m_Context->m_Table.commit(std::move(Commit), Now,
                             [this, Structural](CommitResult Result,
@@ -315,7 +315,7 @@
   if (isLeader(Now) && m_PushedHead < Complete)
     pushChanges();
   m_PushedHead = Complete;
-  if (m_Context->m_Changed.m_Members)
+  if (m_Context->m_PendingChange.m_Members)
     markReplacedSessions(currentRow(m_Group), Now);
   acknowledgeCommitted(Now);
 }
--- a/src/coordination/head_row.cpp
+++ b/src/coordination/head_row.cpp
@@ -28,7 +28,7 @@
   return Result;
 }
 
-void appendHeadBump(
+void appendHeadUpdate(
     Transaction &Commit, const HeadRow &Current,
     const std::vector<std::pair<RowKey, std::uint64_t>> &Counters) {
   std::map<std::string, std::uint64_t> Rows = Current.m_Counters;
--- a/src/coordination/plan_runner.cpp
+++ b/src/coordination/plan_runner.cpp
@@ -58,7 +58,7 @@
 
 void PlanRunner::onViewChanged(TimePoint Now) {
   dropStaleSettled();
-  if (!m_Context->m_Changed.m_MapRows.empty())
+  if (!m_Context->m_PendingChange.m_MapRows.empty())
     m_ChangesDueSince.reset();
   keepEarlier(m_EvaluateAt, Now);
 }
@@ -145,7 +145,7 @@
     Commit.m_Writes.push_back({Key, toValue(Row, Commit.m_Id)});
     Counters.emplace_back(Key, Row.m_Counter);
   }
-  appendHeadBump(Commit, View.head(), Counters);
+  appendHeadUpdate(Commit, View.head(), Counters);
   m_CommitPending = true;
   m_Context->m_Table.commit(std::move(Commit), Now,
                             [this](CommitResult Result,
--- a/tests/coordinator_cluster.h
+++ b/tests/coordinator_cluster.h
@@ -102,8 +102,8 @@
     const Config Base = configFromRow(Current).value_or(Config{});
     Transaction Commit =
         makeConfigCommit(Current, Base, Next, WriteId(m_Table.m_LastVersion));
-    appendHeadBump(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
-                   {{ConfigHeadRow, Next.m_Version.value()}});
+    appendHeadUpdate(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
+                     {{ConfigHeadRow, Next.m_Version.value()}});
     m_Table.commit(Commit);
   }
 
@@ -138,7 +138,7 @@
   /// \returns the simulated time that this took.
   Duration runUntilServed(std::uint32_t Shards, Duration Limit) {
     const TimePoint Begin = m_Now;
-    while (m_Now - Begin < Limit && served(Shards) < Shards)
+    while (m_Now - Begin < Limit && servedShards(Shards) < Shards)
       run(milliseconds(10));
     return m_Now - Begin;
   }
@@ -150,7 +150,7 @@
     Duration Result{0};
     for (const TimePoint End = m_Now + Time; m_Now < End;) {
       run(milliseconds(10));
-      Result += milliseconds(10) * (Shards - served(Shards));
+      Result += milliseconds(10) * (Shards - servedShards(Shards));
     }
     return Result;
   }
@@ -166,7 +166,7 @@
   Coordinator &at(std::size_t Index) { return *m_Daemons[Index].m_Coordinator; }
 
   /// Indexes of the running daemons that may send an order for a key now.
-  std::vector<std::size_t> permitted(KeyHash Key) const {
+  std::vector<std::size_t> permittedDaemons(KeyHash Key) const {
     std::vector<std::size_t> Result;
     for (std::size_t Index = 0; Index < m_Daemons.size(); ++Index) {
       const Daemon &Each = m_Daemons[Index];
@@ -181,10 +181,10 @@
   }
 
   /// Number of shards that at least one daemon may serve now.
-  std::size_t served(std::uint32_t Shards) const {
+  std::size_t servedShards(std::uint32_t Shards) const {
     std::size_t Result = 0;
     for (std::uint32_t Shard = 0; Shard < Shards; ++Shard)
-      Result += permitted(KeyHash(Shard)).empty() ? 0 : 1;
+      Result += permittedDaemons(KeyHash(Shard)).empty() ? 0 : 1;
     return Result;
   }
 
@@ -214,7 +214,8 @@
     for (std::size_t Index = 0; Index < m_Daemons.size(); ++Index)
       drive(Index);
     for (std::uint32_t Shard = 0; Shard < m_CheckedShards; ++Shard)
-      m_MaxOwners = std::max(m_MaxOwners, permitted(KeyHash(Shard)).size());
+      m_MaxOwners =
+          std::max(m_MaxOwners, permittedDaemons(KeyHash(Shard)).size());
   }
 
   void drive(std::size_t Index) {
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -269,8 +269,8 @@
   Next.m_Version = ConfigVersion(Base.m_Version.value() + 1);
   Transaction Commit =
       makeConfigCommit(Current, Base, Next, WriteId(m_Dice.below(1ULL << 62U)));
-  appendHeadBump(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
-                 {{ConfigHeadRow, Next.m_Version.value()}});
+  appendHeadUpdate(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
+                   {{ConfigHeadRow, Next.m_Version.value()}});
   if (m_Table.commitNow(Commit).m_Status != TableStatus::Ok)
     return;
   std::map<std::string, TimePoint> OutSince;
@@ -294,8 +294,8 @@
     Next.m_Manifest.m_Deployment = Name + std::to_string(First % 10);
     Transaction Commit = makeConfigCommit(Current, Base, Next,
                                           WriteId(m_Dice.below(1ULL << 62U)));
-    appendHeadBump(Commit, *parseHeadRow(Head),
-                   {{ConfigHeadRow, Next.m_Version.value()}});
+    appendHeadUpdate(Commit, *parseHeadRow(Head),
+                     {{ConfigHeadRow, Next.m_Version.value()}});
     Accepted += m_Table.commitNow(Commit).m_Status == TableStatus::Ok ? 1 : 0;
   }
   if (Accepted != 1)
--- a/tests/unit-coordinator-faults.cpp
+++ b/tests/unit-coordinator-faults.cpp
@@ -24,7 +24,7 @@
   for (const char *Domain : {"a", "b", "c", "a", "b", "c"})
     TestCluster.add(Domain);
   TestCluster.run(seconds(8));
-  REQUIRE(TestCluster.served(Shards) == Shards);
+  REQUIRE(TestCluster.servedShards(Shards) == Shards);
 }
 
 std::size_t leaderOf(Cluster &TestCluster) {
@@ -61,7 +61,7 @@
   TestCluster.m_Daemons[Faulty].m_Paused = false;
   TestCluster.run(seconds(8));
   CHECK(TestCluster.m_MaxOwners == 1);
-  CHECK(TestCluster.served(Shards) == Shards);
+  CHECK(TestCluster.servedShards(Shards) == Shards);
   CHECK(TestCluster.at(Faulty).status(TestCluster.m_Now).m_ShardsOwned > 0);
 }
 
@@ -98,7 +98,7 @@
     TestCluster.run(seconds(5));
     TestCluster.m_Daemons[Faulty].m_Dead = true;
     TestCluster.run(seconds(20));
-    CHECK(TestCluster.served(Shards) == Shards - Owned);
+    CHECK(TestCluster.servedShards(Shards) == Shards - Owned);
     TestCluster.m_TableDown = false;
     const Duration Took = TestCluster.runUntilServed(Shards, seconds(10));
     CHECK(Took <= RecoveryLimit);
@@ -112,7 +112,7 @@
   TestCluster.m_Daemons[2].m_PeersUnreachable =
       TestCluster.m_Daemons[2].m_TableUnreachable = true;
   TestCluster.run(RecoveryLimit);
-  CHECK(TestCluster.served(Shards) == Shards);
+  CHECK(TestCluster.servedShards(Shards) == Shards);
   TestCluster.run(seconds(2));
   TestCluster.m_Daemons[2].m_PeersUnreachable =
       TestCluster.m_Daemons[2].m_TableUnreachable = false;
@@ -158,7 +158,7 @@
         Duration(0));
   CHECK(TestCluster.at(0).status(TestCluster.m_Now).m_ShardsOwned == 0);
   CHECK(TestCluster.at(3).status(TestCluster.m_Now).m_ShardsOwned == 0);
-  CHECK(TestCluster.served(Shards) == Shards);
+  CHECK(TestCluster.servedShards(Shards) == Shards);
   TestCluster.commitConfig(makeKeyedConfig(3, Shards));
   CHECK(TestCluster.unservedShardTime(Shards, seconds(10)) == Duration(0));
   for (std::size_t Index = 0; Index < 6; ++Index)
@@ -174,7 +174,7 @@
   TestCluster.at(4).beginShutdown(TestCluster.m_Now);
   TestCluster.run(seconds(5));
   CHECK(TestCluster.at(4).drained());
-  CHECK(TestCluster.served(Shards) == Shards);
+  CHECK(TestCluster.servedShards(Shards) == Shards);
   CHECK(TestCluster.at(0).status(TestCluster.m_Now).m_Members == 5);
   CHECK(TestCluster.m_MaxOwners == 1);
 }
@@ -199,7 +199,7 @@
   for (auto &Daemon : TestCluster.m_Daemons)
     Daemon.m_Paused = false;
   TestCluster.run(milliseconds(1));
-  CHECK(TestCluster.served(Shards) == 0);
+  CHECK(TestCluster.servedShards(Shards) == 0);
   CHECK(TestCluster.runUntilServed(Shards, seconds(10)) <= RecoveryLimit);
   CHECK(TestCluster.m_MaxOwners == 1);
 }
--- a/tests/unit-coordinator.cpp
+++ b/tests/unit-coordinator.cpp
@@ -25,7 +25,7 @@
   TestCluster.run(seconds(8));
 
   CHECK(TestCluster.m_MaxOwners == 1);
-  CHECK(TestCluster.served(Shards) == Shards);
+  CHECK(TestCluster.servedShards(Shards) == Shards);
   for (std::size_t Index = 0; Index < 6; ++Index) {
     const CoordinatorStatus Status =
         TestCluster.at(Index).status(TestCluster.m_Now);
--- a/tests/unit-load-balance.cpp
+++ b/tests/unit-load-balance.cpp
@@ -20,7 +20,7 @@
   const ServiceName Service("orders");
   for (int Second = 0; Second < Seconds; ++Second) {
     for (std::uint32_t Shard = 0; Shard < ShardCount; ++Shard)
-      for (std::size_t Index : TestCluster.permitted(KeyHash(Shard)))
+      for (std::size_t Index : TestCluster.permittedDaemons(KeyHash(Shard)))
         for (int Order = 0; Order < Rates[Shard]; ++Order) {
           const ShardRef Ref{Service, ShardIndex(Shard)};
           TestCluster.at(Index).orderStarted(Ref, KeyHash(Shard), Epoch(1));
@@ -35,7 +35,7 @@
                   const std::vector<double> &Rates) {
   std::vector<double> Loads(DaemonCount, 0);
   for (std::uint32_t Shard = 0; Shard < ShardCount; ++Shard)
-    for (std::size_t Index : TestCluster.permitted(KeyHash(Shard)))
+    for (std::size_t Index : TestCluster.permittedDaemons(KeyHash(Shard)))
       Loads[Index] += Rates[Shard];
   const double Sum = std::accumulate(Loads.begin(), Loads.end(), 0.0);
   return std::ranges::max(Loads) * DaemonCount / Sum;
@@ -48,12 +48,12 @@
   for (const char *Domain : {"a", "b", "c", "a", "b", "c"})
     TestCluster.add(Domain);
   TestCluster.run(seconds(8));
-  REQUIRE(TestCluster.served(ShardCount) == ShardCount);
+  REQUIRE(TestCluster.servedShards(ShardCount) == ShardCount);
 
   std::vector<double> Rates(ShardCount, 1);
   int HotShards = 0;
   for (std::uint32_t Shard = 0; Shard < ShardCount && HotShards < 3; ++Shard)
-    if (TestCluster.permitted(KeyHash(Shard)).front() == 0) {
+    if (TestCluster.permittedDaemons(KeyHash(Shard)).front() == 0) {
       Rates[Shard] = 25;
       ++HotShards;
     }
--- a/tests/unit-rows.cpp
+++ b/tests/unit-rows.cpp
@@ -127,7 +127,7 @@
   GroupRow Group = makeGroup(2);
   Group.m_Counter = 3;
   Transaction Head;
-  appendHeadBump(Head, HeadRow{}, {{groupRowKey(4), 3}, {groupRowKey(5), 1}});
+  appendHeadUpdate(Head, HeadRow{}, {{groupRowKey(4), 3}, {groupRowKey(5), 1}});
   View.merge({{HeadRowKey, RowVersion(1), *Head.m_Writes[0].m_Value}});
   CHECK_FALSE(View.isGone(SessionId(9)));
   View.merge({{groupRowKey(4), RowVersion(2), toValue(Group, WriteId(1))}});
