--- a/bench/capacity/fleet.cpp
+++ b/bench/capacity/fleet.cpp
@@ -82,13 +82,13 @@
 }
 
 void Fleet::commitConfig(const Config &Next) {
-  const auto Rows =
-      m_Table.read({.m_Keys = {ConfigHeadRow, HeadRowKey}, .m_Prefixes = {}});
+  const auto Rows = m_Table.read(
+      {.m_Keys = {ConfigHeadRowKey, HeadRowKey}, .m_Prefixes = {}});
   const Config Base = configFromRow(Rows[0]).value_or(Config{});
   Transaction Commit = makeConfigCommit(
       Rows[0], Base, Next, WriteId(m_Options.m_Seed + ++m_LastOrder));
   appendHeadUpdate(Commit, *parseHeadRow(Rows[1]),
-                   {{ConfigHeadRow, Next.m_Version.value()}});
+                   {{ConfigHeadRowKey, Next.m_Version.value()}});
   m_Table.commit(Commit);
 }
 
--- a/bench/core/cluster.cpp
+++ b/bench/core/cluster.cpp
@@ -277,14 +277,14 @@
 
 std::optional<Config> Cluster::readConfig() {
   const ClientReply Reply = postJson(platformUrl() + "/v1/read",
-                                     {{"keys", {ConfigHeadRow.value()}},
+                                     {{"keys", {ConfigHeadRowKey.value()}},
                                       {"prefixes", nlohmann::json::array()}});
   const auto Body = nlohmann::json::parse(Reply.m_Body, nullptr, false);
   if (Reply.m_Status != 200 || !Body.is_object())
     return std::nullopt;
   const nlohmann::json &Head = Body.at("rows").at(0);
   return configFromRow(
-      {.m_Key = ConfigHeadRow,
+      {.m_Key = ConfigHeadRowKey,
        .m_Version = RowVersion(Head.at("version").get<std::uint64_t>()),
        .m_Value = Head.at("value").get<std::string>()});
 }
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -127,10 +127,10 @@
   Config First;
   First.m_Version = ConfigVersion(1);
   First.m_Manifest.m_Services = {Orders};
-  Transaction Commit =
-      makeConfigCommit(Table.get(ConfigHeadRow), Config{}, First, WriteId(1));
+  Transaction Commit = makeConfigCommit(Table.get(ConfigHeadRowKey), Config{},
+                                        First, WriteId(1));
   appendHeadUpdate(Commit, *parseHeadRow(Table.get(HeadRowKey)),
-                   {{ConfigHeadRow, 1}});
+                   {{ConfigHeadRowKey, 1}});
   Table.commit(Commit);
 }
 
--- a/include/balsamwheel/detail/coordination/cluster_view.h
+++ b/include/balsamwheel/detail/coordination/cluster_view.h
@@ -26,7 +26,7 @@
     bool m_Members = false;
     bool m_Config = false;
     /// Keys of the map rows that were replaced.
-    std::vector<RowKey> m_MapRows;
+    std::vector<RowKey> m_MapRowKeys;
   };
 
   /// Merges the rows of one table read or one message.
@@ -34,9 +34,9 @@
 
   const HeadRow &head() const { return m_Head; }
   /// Whether every row has the counter that the head row names for it.
-  bool complete() const { return m_Complete; }
+  bool isComplete() const { return m_Complete; }
   /// The newest version of the head row at which the view was complete.
-  RowVersion completeHead() const { return m_CompleteHeadVersion; }
+  RowVersion completeHeadVersion() const { return m_CompleteHeadVersion; }
   /// Keys of the rows that are missing or older than the head row says.
   std::vector<RowKey> staleRows() const;
   /// A row as it was read from the table; null if it is not known.
@@ -54,7 +54,7 @@
   /// Whether the session has left its group permanently, so that its lease has
   /// ended. Always false while the view is incomplete, because it may then be
   /// older than the session.
-  bool isGone(SessionId Session) const;
+  bool hasEnded(SessionId Session) const;
   std::size_t memberCount() const { return m_Members.size(); }
   /// Whether a member takes no new work: it says so itself, or the
   /// configuration drains it or takes its domain out.
--- a/include/balsamwheel/detail/coordination/map_row.h
+++ b/include/balsamwheel/detail/coordination/map_row.h
@@ -22,7 +22,7 @@
   Epoch m_Epoch;
   /// The former owner while it may still have orders running; 0 once the
   /// handover is settled.
-  SessionId m_Former;
+  SessionId m_FormerOwner;
 
   bool operator==(const ShardEntry &) const = default;
 };
--- a/include/balsamwheel/detail/coordination/ownership.h
+++ b/include/balsamwheel/detail/coordination/ownership.h
@@ -59,7 +59,7 @@
 private:
   struct HeldShard {
     Epoch m_Epoch;
-    SessionId m_Former;
+    SessionId m_FormerOwner;
     bool m_Active = false;
     /// The former owner has no running orders left for this shard.
     bool m_Resolved = false;
--- a/include/balsamwheel/detail/manifest/document.h
+++ b/include/balsamwheel/detail/manifest/document.h
@@ -24,7 +24,7 @@
 /// Key of the row that holds the newest version of the configuration.
 ///
 /// Value: {"version": N, "write_id": W, "document": {...}}.
-inline const RowKey ConfigHeadRow{"config/head"};
+inline const RowKey ConfigHeadRowKey{"config/head"};
 
 /// Key prefix of the rows that hold one delta each: "config/delta/N" leads from
 /// version N-1 to N. Value: {"version": N, "patch": [RFC 6902 operations]}.
@@ -34,14 +34,14 @@
 inline constexpr std::uint64_t KeptConfigDeltas = 64;
 
 /// Key of the row with the delta that leads to \p Version.
-RowKey configDeltaRow(ConfigVersion Version);
+RowKey configDeltaRowKey(ConfigVersion Version);
 
 /// Creates the transaction that replaces a configuration by a newer one.
 ///
 /// The caller adds the condition on the head row and its new value, see
 /// appendHeadBump().
 ///
-/// \param Current the row with the key ConfigHeadRow as read; version 0 if
+/// \param Current the row with the key ConfigHeadRowKey as read; version 0 if
 /// absent.
 /// \param Base the configuration in that row.
 /// \param Next the new configuration; its version must be Base's plus 1.
@@ -56,7 +56,7 @@
 /// to the next version.
 std::optional<Config> applyDelta(const Config &Base, const std::string &Patch);
 
-/// Reads the configuration from the row with the key ConfigHeadRow.
+/// Reads the configuration from the row with the key ConfigHeadRowKey.
 ///
 /// \returns none when the row is absent or does not have the expected format.
 std::optional<Config> configFromRow(const Row &HeadRow);
--- a/src/cli/cluster_rows.cpp
+++ b/src/cli/cluster_rows.cpp
@@ -20,7 +20,7 @@
     Into.m_Head = Head.value_or(HeadRow{});
     return Head.has_value();
   }
-  if (Stored.m_Key == ConfigHeadRow) {
+  if (Stored.m_Key == ConfigHeadRowKey) {
     Into.m_ConfigRow = Stored;
     if (Stored.m_Version == RowVersion())
       return true;
@@ -39,8 +39,8 @@
 } // namespace
 
 std::error_code readCluster(TableSession &Table, ClusterRows &Into) {
-  const auto Rows = Table.read(
-      {.m_Keys = {HeadRowKey, ConfigHeadRow}, .m_Prefixes = {GroupRowPrefix}});
+  const auto Rows = Table.read({.m_Keys = {HeadRowKey, ConfigHeadRowKey},
+                                .m_Prefixes = {GroupRowPrefix}});
   if (!Rows)
     return CliError::Unreachable;
   Into = {};
@@ -56,8 +56,8 @@
     Transaction Commit = makeConfigCommit(Base.m_ConfigRow, Base.m_Config, Next,
                                           randomWriteId());
     appendHeadUpdate(Commit, Base.m_Head,
-                     {{ConfigHeadRow, Next.m_Version.value()}});
-    const std::error_code Error = Table.commit(Commit, ConfigHeadRow);
+                     {{ConfigHeadRowKey, Next.m_Version.value()}});
+    const std::error_code Error = Table.commit(Commit, ConfigHeadRowKey);
     if (Error != CliError::Conflict)
       return Error;
     const RowVersion Known = Base.m_ConfigRow.m_Version;
--- a/src/cli/view_commands.cpp
+++ b/src/cli/view_commands.cpp
@@ -84,7 +84,7 @@
   for (const MapRow &Part : Map)
     for (const ShardEntry &Entry : Part.m_Entries) {
       ++Counts[ownerName(Rows, Entry.m_Owner)];
-      Unsettled += Entry.m_Former != SessionId() ? 1 : 0;
+      Unsettled += Entry.m_FormerOwner != SessionId() ? 1 : 0;
     }
   CommandResult Result;
   std::ostringstream Text;
@@ -108,8 +108,8 @@
   const Member *Owner = findSession(Rows, Entry.m_Owner);
   if (Owner == nullptr)
     return "the owner was lost; an heir is about to be assigned";
-  if (findSession(Rows, Entry.m_Former) != nullptr)
-    return "handed over from " + ownerName(Rows, Entry.m_Former) +
+  if (findSession(Rows, Entry.m_FormerOwner) != nullptr)
+    return "handed over from " + ownerName(Rows, Entry.m_FormerOwner) +
            ", which may still finish requests";
   return "assigned by the map";
 }
--- a/src/coordination/cluster_view.cpp
+++ b/src/coordination/cluster_view.cpp
@@ -67,7 +67,7 @@
     return;
   storeRow(Stored, Next->m_Counter);
   Result.m_Any = true;
-  Result.m_MapRows.push_back(Stored.m_Key);
+  Result.m_MapRowKeys.push_back(Stored.m_Key);
   Parts[Next->m_Part] = std::move(*Next);
 }
 
@@ -112,7 +112,7 @@
   std::vector<RowKey> Result;
   for (const auto &[Text, Counter] : m_Head.m_Counters) {
     const RowKey Key(Text);
-    if (Key == ConfigHeadRow) {
+    if (Key == ConfigHeadRowKey) {
       std::ranges::copy(m_Config.rowsToReach(ConfigVersion(Counter)),
                         std::back_inserter(Result));
       continue;
@@ -152,7 +152,7 @@
   return m_Members.contains(Session);
 }
 
-bool ClusterView::isGone(SessionId Session) const {
+bool ClusterView::hasEnded(SessionId Session) const {
   return m_Complete && !m_Members.contains(Session);
 }
 
--- a/src/coordination/config_tracker.cpp
+++ b/src/coordination/config_tracker.cpp
@@ -35,7 +35,7 @@
 bool ConfigTracker::merge(const Row &Stored, RowVersion Head) {
   if (Stored.m_Version.value() == 0)
     return false;
-  if (Stored.m_Key == ConfigHeadRow)
+  if (Stored.m_Key == ConfigHeadRowKey)
     return mergeDocument(Stored, Head);
   return mergeDelta(Stored, Head);
 }
@@ -76,7 +76,7 @@
     const nlohmann::json Value = {{"version", version().value()},
                                   {"write_id", 0},
                                   {"document", toDocument(*m_Config)}};
-    Result.push_back({ConfigHeadRow, RowVersion(1), Value.dump()});
+    Result.push_back({ConfigHeadRowKey, RowVersion(1), Value.dump()});
     return Result;
   }
   for (const auto &[Version, Delta] : m_Deltas)
@@ -90,10 +90,10 @@
   if (Wanted.value() <= Known)
     return {};
   if (Known == 0 || Wanted.value() - Known > MaxDeltasToFetch)
-    return {ConfigHeadRow};
+    return {ConfigHeadRowKey};
   std::vector<RowKey> Result;
   for (std::uint64_t Next = Known + 1; Next <= Wanted.value(); ++Next)
-    Result.push_back(configDeltaRow(ConfigVersion(Next)));
+    Result.push_back(configDeltaRowKey(ConfigVersion(Next)));
   return Result;
 }
 
--- a/src/coordination/context.cpp
+++ b/src/coordination/context.cpp
@@ -30,8 +30,8 @@
   m_PendingChange.m_Any = m_PendingChange.m_Any || Next.m_Any;
   m_PendingChange.m_Members = m_PendingChange.m_Members || Next.m_Members;
   m_PendingChange.m_Config = m_PendingChange.m_Config || Next.m_Config;
-  std::ranges::move(Next.m_MapRows,
-                    std::back_inserter(m_PendingChange.m_MapRows));
+  std::ranges::move(Next.m_MapRowKeys,
+                    std::back_inserter(m_PendingChange.m_MapRowKeys));
 }
 
 SessionId CoordinationContext::newSession() {
--- a/src/coordination/document.cpp
+++ b/src/coordination/document.cpp
@@ -136,7 +136,7 @@
   }
 }
 
-RowKey configDeltaRow(ConfigVersion Version) {
+RowKey configDeltaRowKey(ConfigVersion Version) {
   return RowKey(ConfigDeltaPrefix + std::to_string(Version.value()));
 }
 
@@ -151,12 +151,12 @@
 
   Transaction Result;
   Result.m_Id = Id;
-  Result.m_Conditions.push_back({ConfigHeadRow, Current.m_Version});
-  Result.m_Writes.push_back({ConfigHeadRow, Head.dump()});
-  Result.m_Writes.push_back({configDeltaRow(Next.m_Version), Delta.dump()});
+  Result.m_Conditions.push_back({ConfigHeadRowKey, Current.m_Version});
+  Result.m_Writes.push_back({ConfigHeadRowKey, Head.dump()});
+  Result.m_Writes.push_back({configDeltaRowKey(Next.m_Version), Delta.dump()});
   if (Version > KeptConfigDeltas)
     Result.m_Writes.push_back(
-        {configDeltaRow(ConfigVersion(Version - KeptConfigDeltas)),
+        {configDeltaRowKey(ConfigVersion(Version - KeptConfigDeltas)),
          std::nullopt});
   return Result;
 }
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -268,7 +268,7 @@
   Ack.m_Session = Subject.m_Member.m_Session;
   Ack.m_SequenceCommitted = Subject.m_Sequence;
   Ack.m_GroupRow = Row.m_Version;
-  Ack.m_Head = m_Context->m_View.completeHead();
+  Ack.m_Head = m_Context->m_View.completeHeadVersion();
   if (isFirstWriter())
     Ack.m_NextBeatIn = nextHeartbeatIn(Now);
   m_SendAck(Subject.m_Member.m_Peer, Ack, Now);
@@ -311,7 +311,7 @@
 }
 
 void GroupLeader::onViewChanged(TimePoint Now) {
-  const RowVersion Complete = m_Context->m_View.completeHead();
+  const RowVersion Complete = m_Context->m_View.completeHeadVersion();
   if (isLeader(Now) && m_PushedHead < Complete)
     pushChanges();
   m_PushedHead = Complete;
@@ -322,7 +322,7 @@
 
 void GroupLeader::pushChanges() {
   Changes Message;
-  Message.m_Head = m_Context->m_View.completeHead();
+  Message.m_Head = m_Context->m_View.completeHeadVersion();
   Message.m_Rows = m_Context->m_View.rowsSince(m_PushedHead);
   for (const GroupMember &Each : currentRow(m_Group).m_Members)
     m_Context->send(Each.m_Member.m_Peer, Message);
--- a/src/coordination/head_poller.cpp
+++ b/src/coordination/head_poller.cpp
@@ -17,7 +17,7 @@
   m_Callbacks.push_back(std::move(OnDone));
   m_Busy = true;
   TableRead Read;
-  Read.m_Keys = {HeadRowKey, ConfigHeadRow};
+  Read.m_Keys = {HeadRowKey, ConfigHeadRowKey};
   Read.m_Prefixes = {GroupRowPrefix, MapRowPrefix};
   m_Context->m_Table.read(
       std::move(Read), Now,
@@ -61,7 +61,7 @@
   Read.m_Keys.push_back(HeadRowKey);
   // If deltas were pruned in the meantime, only the complete document is left.
   if (Round > 1)
-    Read.m_Keys.push_back(ConfigHeadRow);
+    Read.m_Keys.push_back(ConfigHeadRowKey);
   m_Context->m_Table.read(
       std::move(Read), Now,
       [this, SentAt, Round](const std::vector<Row> *Rows, TimePoint Later) {
--- a/src/coordination/map_row.cpp
+++ b/src/coordination/map_row.cpp
@@ -49,7 +49,7 @@
     Result.m_Entries.push_back(
         {.m_Owner = SessionId(Sessions.at(Fields.at(0).get<std::size_t>())),
          .m_Epoch = Epoch(Fields.at(1).get<std::uint64_t>()),
-         .m_Former =
+         .m_FormerOwner =
              Fields.size() < 3
                  ? SessionId()
                  : SessionId(Sessions.at(Fields.at(2).get<std::size_t>()))});
@@ -70,8 +70,8 @@
   Json Shards = Json::array();
   for (const ShardEntry &Entry : Map.m_Entries) {
     Json Fields = {Sessions.indexOf(Entry.m_Owner), Entry.m_Epoch.value()};
-    if (Entry.m_Former.value() != 0)
-      Fields.push_back(Sessions.indexOf(Entry.m_Former));
+    if (Entry.m_FormerOwner.value() != 0)
+      Fields.push_back(Sessions.indexOf(Entry.m_FormerOwner));
     Shards.push_back(std::move(Fields));
   }
   return Json{{"write_id", Id.value()},
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -181,7 +181,7 @@
   Result.m_Session = m_Context->m_Session;
   Result.m_Sequence = m_Lease.sequence();
   Result.m_ConfigApplied = m_Context->m_View.configVersion();
-  Result.m_MapSeen = m_Context->m_View.completeHead().value();
+  Result.m_MapSeen = m_Context->m_View.completeHeadVersion().value();
   if (m_EntrySequence > m_Lease.committed())
     Result.m_Entry = m_Entry;
   return Result;
@@ -219,7 +219,7 @@
   // While the lease is held, no shard can have been taken from this session, so
   // its view may lag behind by one acknowledgement.
   const RowVersion Needed = m_Lease.holds(Now) ? m_AckedHead : Head;
-  return m_Context->m_View.completeHead() >= Needed;
+  return m_Context->m_View.completeHeadVersion() >= Needed;
 }
 
 void Membership::onAck(const HeartbeatAck &Message, const PeerAddress &From,
@@ -257,8 +257,8 @@
   m_Failovers = m_Attempt > 1 ? m_Failovers + 1 : 0;
   if (m_Failovers >= FailoversBeforePreference)
     preferWriter(From, Now);
-  const bool Behind = m_Context->m_View.completeHead() < Message.m_Head;
-  const bool WasBehind = m_Context->m_View.completeHead() < m_AckedHead;
+  const bool Behind = m_Context->m_View.completeHeadVersion() < Message.m_Head;
+  const bool WasBehind = m_Context->m_View.completeHeadVersion() < m_AckedHead;
   if (isUpToDate(Message.m_Head, Now)) {
     m_Lease.onCommitted(Message.m_SequenceCommitted);
     m_DeferredAck.reset();
@@ -266,7 +266,8 @@
     m_DeferredAck = Message;
   }
   if (Behind && (WasBehind || m_DeferredAck))
-    m_Context->send(From, ChangesRequest{m_Context->m_View.completeHead()});
+    m_Context->send(From,
+                    ChangesRequest{m_Context->m_View.completeHeadVersion()});
   m_AckedHead = std::max(m_AckedHead, Message.m_Head);
   scheduleExtension();
 }
@@ -283,7 +284,7 @@
 
 void Membership::onChangesRequest(const ChangesRequest &Message,
                                   const PeerAddress &From) {
-  m_Context->send(From, Changes{m_Context->m_View.completeHead(),
+  m_Context->send(From, Changes{m_Context->m_View.completeHeadVersion(),
                                 m_Context->m_View.rowsSince(Message.m_Head)});
 }
 
--- a/src/coordination/membership_extension.cpp
+++ b/src/coordination/membership_extension.cpp
@@ -40,7 +40,7 @@
   Request.m_Group = m_Group;
   Request.m_GroupRow = m_AckedRow;
   Request.m_ConfigApplied = m_Context->m_View.configVersion();
-  Request.m_MapSeen = m_Context->m_View.completeHead().value();
+  Request.m_MapSeen = m_Context->m_View.completeHeadVersion().value();
   for (SessionId Witness : Self->m_Witnesses)
     m_Context->sendTo(Witness, Request);
 }
@@ -51,10 +51,10 @@
   if (!Subject)
     return;
   const RowVersion Seen(Message.m_MapSeen);
-  const bool Behind = Seen < m_Context->m_View.completeHead();
+  const bool Behind = Seen < m_Context->m_View.completeHeadVersion();
   if (Behind)
     m_Context->send(Subject->m_Member.m_Peer,
-                    Changes{m_Context->m_View.completeHead(),
+                    Changes{m_Context->m_View.completeHeadVersion(),
                             m_Context->m_View.rowsSince(Seen)});
   const bool IsListed =
       std::ranges::count(Subject->m_Witnesses, m_Context->m_Session) > 0;
--- a/src/coordination/ownership.cpp
+++ b/src/coordination/ownership.cpp
@@ -44,7 +44,7 @@
     if (Entry.m_Owner == Self) {
       ++State.m_Owned;
       acquire(Shard, Entry, Now);
-    } else if (Entry.m_Former == Self) {
+    } else if (Entry.m_FormerOwner == Self) {
       if (std::optional<Yield::Item> Item = makeYield(Shard, Entry))
         Yields[Entry.m_Owner].push_back(std::move(*Item));
     } else {
@@ -63,7 +63,7 @@
     return;
   HeldShard Held;
   Held.m_Epoch = Entry.m_Epoch;
-  Held.m_Former = Entry.m_Former;
+  Held.m_FormerOwner = Entry.m_FormerOwner;
   advanceHandover(Shard, Held, Entry, Now);
   m_Held[Shard] = std::move(Held);
 }
@@ -72,8 +72,8 @@
                                 const ShardEntry &Entry, TimePoint Now) {
   if (Held.m_Active && Held.m_Resolved)
     return;
-  const bool NoFormerOwner = Entry.m_Former.value() == 0;
-  if (NoFormerOwner || m_Context->m_View.isGone(Entry.m_Former)) {
+  const bool NoFormerOwner = Entry.m_FormerOwner.value() == 0;
+  if (NoFormerOwner || m_Context->m_View.hasEnded(Entry.m_FormerOwner)) {
     Held.m_WaitingKeys.clear();
     Held.m_Resolved = true;
     activate(Shard, Held, Now);
@@ -99,8 +99,8 @@
 
 void Ownership::applyYield(const ShardRef &Shard, HeldShard &Held,
                            const ReceivedYield &Received, TimePoint Now) {
-  if (Received.m_Epoch != Held.m_Epoch || Received.m_From != Held.m_Former ||
-      Held.m_Resolved)
+  if (Received.m_Epoch != Held.m_Epoch ||
+      Received.m_From != Held.m_FormerOwner || Held.m_Resolved)
     return;
   std::unordered_set<KeyHash> Keys(Received.m_InFlight.begin(),
                                    Received.m_InFlight.end());
@@ -163,7 +163,7 @@
     return;
   HeldShard &Held = Found->second;
   if (!Held.m_Active || Held.m_Epoch != Message.m_Epoch ||
-      Held.m_Former != Message.m_From)
+      Held.m_FormerOwner != Message.m_From)
     return;
   Held.m_WaitingKeys.erase(Message.m_Key);
   Held.m_Resolved = Held.m_Resolved || Held.m_WaitingKeys.empty();
@@ -178,7 +178,7 @@
     return;
   const SessionId Self = m_Context->m_Session;
   const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
-  if (!Entry || Entry->m_Owner == Self || Entry->m_Former != Self)
+  if (!Entry || Entry->m_Owner == Self || Entry->m_FormerOwner != Self)
     return;
   if (m_Context->m_Options.m_Handover == HandoverMode::SwitchThenResolve)
     m_Context->sendTo(Entry->m_Owner,
@@ -205,12 +205,12 @@
     if (Held.m_Resolved || !Entry || Entry->m_Epoch != Held.m_Epoch ||
         Entry->m_Owner != m_Context->m_Session)
       continue;
-    Requests[Held.m_Former].push_back(Shard);
+    Requests[Held.m_FormerOwner].push_back(Shard);
     const RowKey Key =
         mapRowKey(Shard.m_Service, Shard.m_Shard.value() / ShardsPerRow);
     if (!Held.m_Active)
       if (const Row *Stored = m_Context->m_View.storedRow(Key))
-        Rows[Held.m_Former][Key.value()] = *Stored;
+        Rows[Held.m_FormerOwner][Key.value()] = *Stored;
   }
   for (auto &[FormerOwner, Shards] : Requests) {
     Changes MapRows;
@@ -257,9 +257,9 @@
 SessionId Ownership::formerOwner(const ShardRef &Shard) const {
   const auto Found = m_Held.find(Shard);
   if (Found == m_Held.end() ||
-      !m_Context->m_View.isLive(Found->second.m_Former))
+      !m_Context->m_View.isLive(Found->second.m_FormerOwner))
     return SessionId();
-  return Found->second.m_Former;
+  return Found->second.m_FormerOwner;
 }
 
 std::vector<std::pair<ShardRef, Epoch>> Ownership::settled() const {
@@ -267,8 +267,8 @@
   for (const auto &[Shard, Held] : m_Held) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Shard);
     if (Held.m_Resolved && Entry && Entry->m_Owner == m_Context->m_Session &&
-        Entry->m_Epoch == Held.m_Epoch && Entry->m_Former.value() != 0 &&
-        m_Context->m_View.isLive(Entry->m_Former))
+        Entry->m_Epoch == Held.m_Epoch && Entry->m_FormerOwner.value() != 0 &&
+        m_Context->m_View.isLive(Entry->m_FormerOwner))
       Result.emplace_back(Shard, Held.m_Epoch);
   }
   return Result;
--- a/src/coordination/plan_runner.cpp
+++ b/src/coordination/plan_runner.cpp
@@ -58,7 +58,7 @@
 
 void PlanRunner::onViewChanged(TimePoint Now) {
   dropStaleSettled();
-  if (!m_Context->m_PendingChange.m_MapRows.empty())
+  if (!m_Context->m_PendingChange.m_MapRowKeys.empty())
     m_ChangesDueSince.reset();
   keepEarlier(m_EvaluateAt, Now);
 }
@@ -76,14 +76,15 @@
   std::erase_if(m_Settled, [this](const auto &Item) {
     const ShardEntry *Entry = m_Context->m_View.findEntry(Item.first);
     return !Entry || Entry->m_Epoch > Item.second ||
-           (Entry->m_Epoch == Item.second && Entry->m_Former.value() == 0);
+           (Entry->m_Epoch == Item.second && Entry->m_FormerOwner.value() == 0);
   });
 }
 
 void PlanRunner::evaluate(TimePoint Now) {
   m_EvaluateAt = Never;
   const ClusterView &View = m_Context->m_View;
-  if (m_CommitPending || !View.complete() || !View.isLive(m_Context->m_Session))
+  if (m_CommitPending || !View.isComplete() ||
+      !View.isLive(m_Context->m_Session))
     return;
   PlanRequest Request;
   Request.m_View = &View;
@@ -138,7 +139,7 @@
       if (Old && *Old == Row.m_Entries[Index])
         continue;
       m_AffectedSessions.insert(Row.m_Entries[Index].m_Owner);
-      m_AffectedSessions.insert(Row.m_Entries[Index].m_Former);
+      m_AffectedSessions.insert(Row.m_Entries[Index].m_FormerOwner);
     }
     ++Row.m_Counter;
     Commit.m_Conditions.push_back({Key, Row.m_Version});
@@ -181,7 +182,7 @@
   if (Bytes * m_AffectedSessions.size() > MaxBytesPushed)
     return;
   Changes Message;
-  Message.m_Head = m_Context->m_View.completeHead();
+  Message.m_Head = m_Context->m_View.completeHeadVersion();
   Message.m_Rows = Rows;
   for (SessionId Session : m_AffectedSessions)
     m_Context->sendTo(Session, Message);
--- a/src/coordination/planner.cpp
+++ b/src/coordination/planner.cpp
@@ -86,7 +86,8 @@
   }
 
   bool hasLiveFormerOwner(const ShardEntry &Entry) const {
-    return Entry.m_Former.value() != 0 && m_View.isLive(Entry.m_Former);
+    return Entry.m_FormerOwner.value() != 0 &&
+           m_View.isLive(Entry.m_FormerOwner);
   }
 
   void markChanged(std::uint32_t Shard) {
@@ -99,9 +100,9 @@
           Shard.m_Shard.value() >= m_ShardCount)
         continue;
       ShardEntry &Entry = entry(Shard.m_Shard.value());
-      if (Entry.m_Epoch != Settled || Entry.m_Former.value() == 0)
+      if (Entry.m_Epoch != Settled || Entry.m_FormerOwner.value() == 0)
         continue;
-      Entry.m_Former = SessionId();
+      Entry.m_FormerOwner = SessionId();
       markChanged(Shard.m_Shard.value());
     }
   }
@@ -110,7 +111,7 @@
   /// live.
   void assign(std::uint32_t Shard, SessionId Owner) {
     ShardEntry &Entry = entry(Shard);
-    SessionId Former = Entry.m_Former;
+    SessionId Former = Entry.m_FormerOwner;
     if (m_View.isLive(Entry.m_Owner))
       Former = Entry.m_Owner;
     if (!m_View.isLive(Former) || Former == Owner)
@@ -119,7 +120,7 @@
     m_Placement.add(Owner);
     Entry = {.m_Owner = Owner,
              .m_Epoch = Epoch(Entry.m_Epoch.value() + 1),
-             .m_Former = Former};
+             .m_FormerOwner = Former};
     markChanged(Shard);
     ++m_Result.m_Moves;
   }
--- a/tests/coordinator_cluster.h
+++ b/tests/coordinator_cluster.h
@@ -98,12 +98,12 @@
   }
 
   void commitConfig(const Config &Next) {
-    const Row Current = m_Table.get(ConfigHeadRow);
+    const Row Current = m_Table.get(ConfigHeadRowKey);
     const Config Base = configFromRow(Current).value_or(Config{});
     Transaction Commit =
         makeConfigCommit(Current, Base, Next, WriteId(m_Table.m_LastVersion));
     appendHeadUpdate(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
-                     {{ConfigHeadRow, Next.m_Version.value()}});
+                     {{ConfigHeadRowKey, Next.m_Version.value()}});
     m_Table.commit(Commit);
   }
 
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -258,11 +258,11 @@
 }
 
 Config NodeRig::currentConfig() const {
-  return configFromRow(m_Table.get(ConfigHeadRow)).value_or(Config{});
+  return configFromRow(m_Table.get(ConfigHeadRowKey)).value_or(Config{});
 }
 
 void NodeRig::changeConfig(const std::function<void(Config &)> &Change) {
-  const Row Current = m_Table.get(ConfigHeadRow);
+  const Row Current = m_Table.get(ConfigHeadRowKey);
   const Config Base = currentConfig();
   Config Next = Base;
   Change(Next);
@@ -270,7 +270,7 @@
   Transaction Commit =
       makeConfigCommit(Current, Base, Next, WriteId(m_Dice.below(1ULL << 62U)));
   appendHeadUpdate(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
-                   {{ConfigHeadRow, Next.m_Version.value()}});
+                   {{ConfigHeadRowKey, Next.m_Version.value()}});
   if (m_Table.commitNow(Commit).m_Status != TableStatus::Ok)
     return;
   std::map<std::string, TimePoint> OutSince;
@@ -284,7 +284,7 @@
 
 void NodeRig::raceConfigs(std::uint64_t First) {
   // Two operators commit changes of the same version; exactly one must succeed.
-  const Row Current = m_Table.get(ConfigHeadRow);
+  const Row Current = m_Table.get(ConfigHeadRowKey);
   const Config Base = currentConfig();
   const Row Head = m_Table.get(HeadRowKey);
   int Accepted = 0;
@@ -295,7 +295,7 @@
     Transaction Commit = makeConfigCommit(Current, Base, Next,
                                           WriteId(m_Dice.below(1ULL << 62U)));
     appendHeadUpdate(Commit, *parseHeadRow(Head),
-                     {{ConfigHeadRow, Next.m_Version.value()}});
+                     {{ConfigHeadRowKey, Next.m_Version.value()}});
     Accepted += m_Table.commitNow(Commit).m_Status == TableStatus::Ok ? 1 : 0;
   }
   if (Accepted != 1)
--- a/tests/unit-document.cpp
+++ b/tests/unit-document.cpp
@@ -43,13 +43,13 @@
   Next.m_Version = ConfigVersion(4);
   Next.m_DomainsOut = {DomainName("a")};
   const Transaction Commit = makeConfigCommit(
-      {ConfigHeadRow, RowVersion(9), ""}, Base, Next, WriteId(77));
+      {ConfigHeadRowKey, RowVersion(9), ""}, Base, Next, WriteId(77));
 
   REQUIRE(Commit.m_Writes.size() == 2);
   const std::string &Patch = *Commit.m_Writes.at(1).m_Value;
   CHECK(applyDelta(Base, Patch) == Next);
   CHECK_FALSE(applyDelta(Next, Patch).has_value());
-  CHECK(configFromRow({ConfigHeadRow, RowVersion(10),
+  CHECK(configFromRow({ConfigHeadRowKey, RowVersion(10),
                        *Commit.m_Writes.at(0).m_Value}) == Next);
   CHECK(Commit.m_Conditions.at(0).m_Version == RowVersion(9));
 }
--- a/tests/unit-rows.cpp
+++ b/tests/unit-rows.cpp
@@ -32,7 +32,7 @@
   Value.m_Version = ConfigVersion(Version);
   const nlohmann::json Document = {
       {"version", Version}, {"write_id", 1}, {"document", toDocument(Value)}};
-  return {ConfigHeadRow, RowVersion(Version), Document.dump()};
+  return {ConfigHeadRowKey, RowVersion(Version), Document.dump()};
 }
 
 } // namespace
@@ -47,7 +47,7 @@
     for (ShardEntry &Entry : Original.m_Entries)
       Entry = {.m_Owner = anySession(),
                .m_Epoch = Epoch(*rc::gen::arbitrary<std::uint64_t>()),
-               .m_Former = anySession()};
+               .m_FormerOwner = anySession()};
     const auto Parsed =
         parseMapRow({mapRowKey(Original.m_Service, Part), RowVersion(1),
                      toValue(Original, WriteId(5))});
@@ -129,16 +129,16 @@
   Transaction Head;
   appendHeadUpdate(Head, HeadRow{}, {{groupRowKey(4), 3}, {groupRowKey(5), 1}});
   View.merge({{HeadRowKey, RowVersion(1), *Head.m_Writes[0].m_Value}});
-  CHECK_FALSE(View.isGone(SessionId(9)));
+  CHECK_FALSE(View.hasEnded(SessionId(9)));
   View.merge({{groupRowKey(4), RowVersion(2), toValue(Group, WriteId(1))}});
-  CHECK_FALSE(View.isGone(SessionId(9)));
+  CHECK_FALSE(View.hasEnded(SessionId(9)));
   CHECK(View.staleRows() == std::vector<RowKey>{groupRowKey(5)});
   GroupRow Other = makeGroup(0);
   Other.m_Counter = 1;
   View.merge({{groupRowKey(5), RowVersion(3), toValue(Other, WriteId(1))}});
-  CHECK(View.complete());
-  CHECK(View.isGone(SessionId(9)));
-  CHECK_FALSE(View.isGone(SessionId(1)));
+  CHECK(View.isComplete());
+  CHECK(View.hasEnded(SessionId(9)));
+  CHECK_FALSE(View.hasEnded(SessionId(1)));
 }
 
 TEST_CASE("a commit without a reply is resolved by its write id") {
