--- a/include/balsamwheel/detail/core/safety_rules.h
+++ b/include/balsamwheel/detail/core/safety_rules.h
@@ -15,10 +15,10 @@
   EpochCompare = 2,
   /// A daemon takes over from a member only after the lease granted by the
   /// member's last observed renewal has certainly expired.
-  TakerWait = 3,
+  TakeoverWait = 3,
   /// A commit without a reply counts as applied only after a re-read shows its
   /// write id.
-  WriteIdSettling = 4,
+  WriteIdConfirmation = 4,
   /// A non-idempotent request id is started at most once.
   AtMostOnceRecord = 5,
   /// A lower configuration version is never applied.
--- a/include/balsamwheel/detail/node/effects.h
+++ b/include/balsamwheel/detail/node/effects.h
@@ -68,7 +68,7 @@
 };
 
 /// Inform the local target of the epoch under which it serves a shard.
-struct GrantTarget {
+struct GrantEpoch {
   ShardRef m_Shard;
   Epoch m_Epoch;
 };
@@ -81,7 +81,7 @@
 
 using Effect =
     std::variant<SendControl, SendRequest, ReadTable, CommitTable, StartOrder,
-                 CancelOrder, AnswerCaller, GrantTarget, ResetPeer>;
+                 CancelOrder, AnswerCaller, GrantEpoch, ResetPeer>;
 using Effects = std::vector<Effect>;
 
 /// How an order ended.
--- a/include/balsamwheel/detail/node/entrance.h
+++ b/include/balsamwheel/detail/node/entrance.h
@@ -42,7 +42,7 @@
         m_History(Options.m_OutcomeMemory) {}
 
   void onCallerRequest(IncomingRequest Incoming, TimePoint Now);
-  void onCallerGone(RequestHandle Handle, TimePoint Now);
+  void onCallerDisconnected(RequestHandle Handle, TimePoint Now);
   void onReceipt(std::uint64_t Stream, TimePoint Now);
   void onReply(ForwardReply Reply, TimePoint Now);
   void onPeerLost(const PeerAddress &Peer, TimePoint Now);
@@ -77,7 +77,7 @@
     TimePoint m_SentAt;
     bool m_HasReceipt = false;
     /// For ForwardOutcome: stream of the forward that is asked about.
-    std::uint64_t m_Forward = 0;
+    std::uint64_t m_ForwardStream = 0;
     /// When to act on a missing reply; max for an exchange with this daemon
     /// itself, and for a forward while a ForwardOutcome exchange asks about it.
     TimePoint m_CheckAt;
@@ -88,7 +88,7 @@
 
   /// Confirmation of a daemon that it refuses earlier attempts from now on.
   struct Clearance {
-    std::uint64_t m_Query = 0;
+    std::uint64_t m_ClearingQuery = 0;
     Epoch m_Epoch;
   };
 
@@ -121,7 +121,7 @@
     bool m_Cleared = false;
     std::unordered_map<SessionId, Clearance> m_Clearances;
     /// Digest of the sessions that the last clearing asked.
-    std::uint64_t m_Asked = 0;
+    std::uint64_t m_AskedSessionsDigest = 0;
     std::optional<Destination> m_FirstDestination;
     /// The owner as reported by the last reply.
     std::optional<Destination> m_Redirect;
--- a/include/balsamwheel/detail/node/node.h
+++ b/include/balsamwheel/detail/node/node.h
@@ -73,7 +73,7 @@
 
   void onCallerRequest(IncomingRequest Request, TimePoint Now);
   /// Called when the caller has closed its connection.
-  void onCallerGone(RequestHandle Request, TimePoint Now);
+  void onCallerDisconnected(RequestHandle Request, TimePoint Now);
   void onControl(const ControlMessage &Message, const PeerAddress &From,
                  TimePoint Now);
   void onRequest(RequestMessage Message, const PeerAddress &From,
@@ -83,7 +83,7 @@
   void onTableReply(TableTicket Ticket, const TableReply &Reply, TimePoint Now);
   /// Called with the head of a long answer, whose body is streamed without
   /// passing through the node. The order runs until onOrderEnd().
-  void onOrderAnswering(OrderId Order, HttpAnswer Head, TimePoint Now);
+  void onOrderAnswerHead(OrderId Order, HttpAnswer Head, TimePoint Now);
   void onOrderEnd(OrderReport Report, TimePoint Now);
 
   void onTargetReady(const ServiceName &Service, std::uint32_t Slots,
--- a/include/balsamwheel/detail/node/outcome_store.h
+++ b/include/balsamwheel/detail/node/outcome_store.h
@@ -20,7 +20,7 @@
 struct AttemptRank {
   std::uint32_t m_Attempt = 1;
   /// Stream of the OutcomeQuery that cleared the attempt, 0 for the first.
-  std::uint64_t m_Query = 0;
+  std::uint64_t m_ClearingQuery = 0;
 
   auto operator<=>(const AttemptRank &) const = default;
 };
@@ -52,7 +52,7 @@
   RecordState m_State = RecordState::Pending;
   AttemptRank m_Rank;
   /// Digest of the set of sessions that last cleared an attempt; 0 if none did.
-  std::uint64_t m_Asked = 0;
+  std::uint64_t m_AskedSessionsDigest = 0;
   /// Attempts were cleared by different sets of sessions, so one of them may
   /// have run at a session that the clearing of another did not ask.
   bool m_AskedSetsDiffer = false;
--- a/include/balsamwheel/detail/wire/control.h
+++ b/include/balsamwheel/detail/wire/control.h
@@ -39,7 +39,7 @@
   /// Delay until the next heartbeat as requested by the leader, which aligns
   /// the heartbeats of the whole group so that they share one write; 0 leaves
   /// the time to the member.
-  Duration m_NextBeatIn{0};
+  Duration m_NextHeartbeatIn{0};
 
   bool operator==(const HeartbeatAck &) const = default;
 };
--- a/include/balsamwheel/detail/wire/request.h
+++ b/include/balsamwheel/detail/wire/request.h
@@ -77,7 +77,7 @@
   Epoch m_Epoch;
   /// Stream of the OutcomeQuery that cleared this attempt; 0 for a first
   /// attempt.
-  std::uint64_t m_Query = 0;
+  std::uint64_t m_ClearingQuery = 0;
 
   bool operator==(const ForwardRequest &) const = default;
 };
@@ -105,7 +105,7 @@
   /// for this key.
   Duration m_MemoryAge{0};
   /// The former owner of the key if it is still alive, otherwise 0.
-  SessionId m_Former;
+  SessionId m_FormerOwner;
   HttpAnswer m_Http;
 
   bool operator==(const ForwardReply &) const = default;
@@ -120,11 +120,11 @@
   /// Stream of the forward whose outcome is asked for. 0 asks about the request
   /// id as a whole in order to clear a retry: once the receiver has replied
   /// NotRun, it refuses all earlier attempts.
-  std::uint64_t m_Forward = 0;
+  std::uint64_t m_ForwardStream = 0;
   /// Digest of the set of sessions that are asked to clear this attempt; 0 for
   /// a request with a key, where the owner and its predecessor are asked in
   /// turn.
-  std::uint64_t m_Asked = 0;
+  std::uint64_t m_AskedSessionsDigest = 0;
 
   bool operator==(const OutcomeQuery &) const = default;
 };
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -5,7 +5,7 @@
 cd "$(dirname "$0")/.."
 STEPS=${1:-20000}
 SEED=${SEED:-1}
-RULES=(LeaseCheck EpochCompare TakerWait WriteIdSettling AtMostOnceRecord
+RULES=(LeaseCheck EpochCompare TakeoverWait WriteIdConfirmation AtMostOnceRecord
   MonotoneVersion YieldWait WitnessPromise)
 CAUGHT=0
 for ((I = 0; I < ${#RULES[@]}; I++)); do
--- a/src/adapters/peer_tcp/decode.cpp
+++ b/src/adapters/peer_tcp/decode.cpp
@@ -102,7 +102,7 @@
           .m_GroupRow = RowVersion(Value.group_row()),
           .m_Head = RowVersion(Value.head()),
           .m_Expelled = Value.expelled(),
-          .m_NextBeatIn = Duration(Value.next_beat_in())};
+          .m_NextHeartbeatIn = Duration(Value.next_beat_in())};
 }
 
 ExtendRequest fromWire(const wire::ExtendRequest &Value) {
@@ -207,7 +207,7 @@
           .m_Stream = Value.stream(),
           .m_To = SessionId(Value.receiver()),
           .m_Epoch = Epoch(Value.epoch()),
-          .m_Query = Value.query()};
+          .m_ClearingQuery = Value.query()};
 }
 
 ForwardReceipt fromWire(const wire::ForwardReceipt &Value) {
@@ -222,7 +222,7 @@
           .m_Owner = SessionId(Value.owner()),
           .m_Epoch = Epoch(Value.epoch()),
           .m_MemoryAge = Duration(Value.memory_age()),
-          .m_Former = SessionId(Value.former()),
+          .m_FormerOwner = SessionId(Value.former()),
           .m_Http = httpAnswer(Value.http())};
 }
 
@@ -230,8 +230,8 @@
   return {.m_Stream = Value.stream(),
           .m_Meta = meta(Value.meta()),
           .m_To = SessionId(Value.receiver()),
-          .m_Forward = Value.forward(),
-          .m_Asked = Value.asked()};
+          .m_ForwardStream = Value.forward(),
+          .m_AskedSessionsDigest = Value.asked()};
 }
 
 ForwardCancel fromWire(const wire::ForwardCancel &Value) {
--- a/src/adapters/peer_tcp/encode.cpp
+++ b/src/adapters/peer_tcp/encode.cpp
@@ -88,7 +88,7 @@
   return content(wire::CreateHeartbeatAck(
       To, Value.m_Group, Value.m_Session.value(), Value.m_SequenceCommitted,
       Value.m_GroupRow.value(), Value.m_Head.value(), Value.m_Expelled,
-      Value.m_NextBeatIn.count()));
+      Value.m_NextHeartbeatIn.count()));
 }
 
 Content encodeOne(Builder &To, const ExtendRequest &Value) {
@@ -190,7 +190,7 @@
   const auto Http = httpRequest(To, Value.m_Http);
   return content(wire::CreateForwardRequest(
       To, Meta, Http, Value.m_TimeLeft.count(), Value.m_Stream,
-      Value.m_To.value(), Value.m_Epoch.value(), Value.m_Query));
+      Value.m_To.value(), Value.m_Epoch.value(), Value.m_ClearingQuery));
 }
 
 Content encodeOne(Builder &To, const ForwardReceipt &Value) {
@@ -203,13 +203,13 @@
       To, Value.m_Stream, static_cast<std::uint8_t>(Value.m_Outcome),
       static_cast<std::uint8_t>(Value.m_Reason), Value.m_RetryAfter.count(),
       Value.m_Owner.value(), Value.m_Epoch.value(), Value.m_MemoryAge.count(),
-      Value.m_Former.value(), Http));
+      Value.m_FormerOwner.value(), Http));
 }
 
 Content encodeOne(Builder &To, const OutcomeQuery &Value) {
   return content(wire::CreateOutcomeQuery(
       To, Value.m_Stream, meta(To, Value.m_Meta), Value.m_To.value(),
-      Value.m_Forward, Value.m_Asked));
+      Value.m_ForwardStream, Value.m_AskedSessionsDigest));
 }
 
 Content encodeOne(Builder &To, const ForwardCancel &Value) {
--- a/src/adapters/target_http/target_link.cpp
+++ b/src/adapters/target_http/target_link.cpp
@@ -147,7 +147,7 @@
   m_Loop.cancel(http_client::TransferId(Order.value()));
 }
 
-void TargetLink::grant(const GrantTarget &Grant) {
+void TargetLink::grant(const GrantEpoch &Grant) {
   const std::string Address = address();
   if (Address.empty())
     return;
--- a/src/adapters/target_http/target_link.h
+++ b/src/adapters/target_http/target_link.h
@@ -61,7 +61,7 @@
   /// \param Upload the rest of a long request body, or null.
   void startOrder(StartOrder Order, runtime::BodyPipePtr Upload);
   void cancelOrder(OrderId Order);
-  void grant(const GrantTarget &Grant);
+  void grant(const GrantEpoch &Grant);
   std::uint16_t port() const { return m_Server.port(); }
   void stop();
 
--- a/src/coordination/expulsion.cpp
+++ b/src/coordination/expulsion.cpp
@@ -85,7 +85,7 @@
   if (Found == m_Records.end() ||
       Found->second.m_Sequence != Subject.m_Sequence)
     return false;
-  if (!enforced<Rule::TakerWait>())
+  if (!enforced<Rule::TakeoverWait>())
     return isSuspect(Subject, Now);
   return Now - Found->second.m_UnchangedSince >= m_Options.m_LeaseWait;
 }
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -270,7 +270,7 @@
   Ack.m_GroupRow = Row.m_Version;
   Ack.m_Head = m_Context->m_View.completeHeadVersion();
   if (isFirstWriter())
-    Ack.m_NextBeatIn = nextHeartbeatIn(Now);
+    Ack.m_NextHeartbeatIn = nextHeartbeatIn(Now);
   m_SendAck(Subject.m_Member.m_Peer, Ack, Now);
 }
 
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -235,8 +235,8 @@
   }
   if (Message.m_SequenceCommitted > m_Lease.committed())
     applyAck(Message, From, Now);
-  if (Message.m_NextBeatIn > Duration(0))
-    alignHeartbeat(Now + Message.m_NextBeatIn);
+  if (Message.m_NextHeartbeatIn > Duration(0))
+    alignHeartbeat(Now + Message.m_NextHeartbeatIn);
   if (Message.m_SequenceCommitted >= m_Lease.sequence())
     m_NextAttemptAt = Never;
 }
--- a/src/coordination/ownership.cpp
+++ b/src/coordination/ownership.cpp
@@ -94,7 +94,7 @@
     return;
   Held.m_Active = true;
   Held.m_ActiveSince = Now;
-  m_Context->m_Effects.push_back(GrantTarget{Shard, Held.m_Epoch});
+  m_Context->m_Effects.push_back(GrantEpoch{Shard, Held.m_Epoch});
 }
 
 void Ownership::applyYield(const ShardRef &Shard, HeldShard &Held,
--- a/src/coordination/table_client.cpp
+++ b/src/coordination/table_client.cpp
@@ -76,7 +76,7 @@
 }
 
 void TableClient::resolveAmbiguous(PendingCommit Pending, TimePoint Now) {
-  if (!enforced<Rule::WriteIdSettling>()) {
+  if (!enforced<Rule::WriteIdConfirmation>()) {
     std::vector<Row> AssumedVersions;
     AssumedVersions.reserve(Pending.m_Commit.m_Conditions.size());
     for (const RowCondition &Condition : Pending.m_Commit.m_Conditions)
--- a/src/daemon/adapters.h
+++ b/src/daemon/adapters.h
@@ -25,7 +25,7 @@
 template <typename T>
 concept TargetClient =
     requires(T Client, StartOrder Order, runtime::BodyPipePtr Upload,
-             OrderId Id, GrantTarget Grant) {
+             OrderId Id, GrantEpoch Grant) {
       Client.startOrder(std::move(Order), std::move(Upload));
       Client.cancelOrder(Id);
       Client.grant(Grant);
--- a/src/daemon/core.h
+++ b/src/daemon/core.h
@@ -150,7 +150,7 @@
   }
 
   void handle(const CallerGone &Item, TimePoint Now) {
-    m_Node.onCallerGone(Item.m_Request, Now);
+    m_Node.onCallerDisconnected(Item.m_Request, Now);
   }
 
   void handle(const ControlArrived &Item, TimePoint Now) {
@@ -172,7 +172,7 @@
   }
 
   void handle(OrderAnswering &Item, TimePoint Now) {
-    m_Node.onOrderAnswering(Item.m_Order, std::move(Item.m_Head), Now);
+    m_Node.onOrderAnswerHead(Item.m_Order, std::move(Item.m_Head), Now);
   }
 
   void handle(OrderEnded &Item, TimePoint Now) {
@@ -267,7 +267,7 @@
     m_Around.m_Target.cancelOrder(What.m_Order);
   }
 
-  void carryOut(const GrantTarget &What) { m_Around.m_Target.grant(What); }
+  void carryOut(const GrantEpoch &What) { m_Around.m_Target.grant(What); }
 
   void carryOut(const ResetPeer &What) {
     LOG4CPLUS_INFO(logger(),
--- a/src/node/entrance.cpp
+++ b/src/node/entrance.cpp
@@ -68,7 +68,7 @@
   dispatch(Handle, Now);
 }
 
-void Entrance::onCallerGone(RequestHandle Handle, TimePoint Now) {
+void Entrance::onCallerDisconnected(RequestHandle Handle, TimePoint Now) {
   if (find(Handle) != nullptr)
     finish(Handle, {Outcome::Unknown, Reason::Cancelled}, Now);
 }
@@ -313,7 +313,7 @@
   Message.m_Epoch = Receiver.m_Epoch;
   if (const auto It = Pending.m_Clearances.find(Receiver.m_Session);
       It != Pending.m_Clearances.end())
-    Message.m_Query = It->second.m_Query;
+    Message.m_ClearingQuery = It->second.m_ClearingQuery;
   reschedule(Handle, Pending);
   m_Context.send(Receiver.m_Peer, std::move(Message));
 }
@@ -349,11 +349,12 @@
                       Reply.m_Outcome != Outcome::Done, Now);
   // A reply to a forward also closes the query about its outcome, and vice
   // versa.
-  const std::uint64_t SettledForward =
-      Ended.m_Kind == ExchangeKind::Forward ? Ended.m_Stream : Ended.m_Forward;
+  const std::uint64_t SettledForward = Ended.m_Kind == ExchangeKind::Forward
+                                           ? Ended.m_Stream
+                                           : Ended.m_ForwardStream;
   for (std::size_t I = Pending.m_Exchanges.size(); I-- > 0;)
     if (SettledForward != 0 &&
-        (Pending.m_Exchanges[I].m_Forward == SettledForward ||
+        (Pending.m_Exchanges[I].m_ForwardStream == SettledForward ||
          Pending.m_Exchanges[I].m_Stream == SettledForward))
       closeExchange(Pending, I);
 
--- a/src/node/entrance_clear.cpp
+++ b/src/node/entrance_clear.cpp
@@ -45,7 +45,7 @@
   Query.m_Stream = Opened.m_Stream;
   Query.m_Meta = Pending.m_Incoming.m_Meta;
   Query.m_To = Receiver.m_Session;
-  Query.m_Asked = Pending.m_Asked;
+  Query.m_AskedSessionsDigest = Pending.m_AskedSessionsDigest;
   m_Context.send(Receiver.m_Peer, std::move(Query));
 }
 
@@ -70,7 +70,7 @@
   for (const Member &Each : m_Context.coordinator().members())
     if (Each.m_Service == Pending.m_Incoming.m_Meta.m_Service)
       ServiceMembers.push_back({Each.m_Session, Each.m_Peer, Epoch()});
-  Pending.m_Asked = digestSessions(ServiceMembers);
+  Pending.m_AskedSessionsDigest = digestSessions(ServiceMembers);
   for (const Destination &Receiver : ServiceMembers)
     sendClearingQuery(Handle, Pending, Receiver, Now);
   if (Pending.m_Exchanges.empty())
@@ -115,7 +115,7 @@
   }
   const Member *Former =
       AskedFormer ? nullptr
-                  : m_Context.coordinator().findMember(Reply.m_Former);
+                  : m_Context.coordinator().findMember(Reply.m_FormerOwner);
   if (Former == nullptr) {
     finishUncleared(Handle, Pending, Now);
     return;
--- a/src/node/entrance_silence.cpp
+++ b/src/node/entrance_silence.cpp
@@ -77,19 +77,19 @@
   }
   std::uint64_t Forward = Pending.m_Exchanges[Index].m_Stream;
   if (Pending.m_Exchanges[Index].m_Kind == ExchangeKind::ForwardOutcome)
-    Forward = closeExchange(Pending, Index).m_Forward;
+    Forward = closeExchange(Pending, Index).m_ForwardStream;
   else
     Pending.m_Exchanges[Index].m_CheckAt = TimePoint::max();
   PeerExchange &QueryExchange = openExchange(
       Handle, Pending, ExchangeKind::ForwardOutcome, Receiver, Now);
-  QueryExchange.m_Forward = Forward;
+  QueryExchange.m_ForwardStream = Forward;
   QueryExchange.m_ReplyTimeout = ReplyTimeout;
   QueryExchange.m_CheckAt = Now + ReplyTimeout;
   OutcomeQuery Query;
   Query.m_Stream = QueryExchange.m_Stream;
   Query.m_Meta = Pending.m_Incoming.m_Meta;
   Query.m_To = Receiver.m_Session;
-  Query.m_Forward = Forward;
+  Query.m_ForwardStream = Forward;
   m_Context.send(Receiver.m_Peer, std::move(Query));
 }
 
--- a/src/node/executor.cpp
+++ b/src/node/executor.cpp
@@ -49,7 +49,7 @@
     return;
   }
   if (!CurrentJob.m_Meta.m_Idempotent &&
-      !admitRequestId(CurrentJob, Request.m_Query, Now))
+      !admitRequestId(CurrentJob, Request.m_ClearingQuery, Now))
     return;
   const JobHandle Handle(++m_LastHandle);
   m_Deadlines.emplace(CurrentJob.m_Deadline, Handle);
--- a/src/node/executor_outcomes.cpp
+++ b/src/node/executor_outcomes.cpp
@@ -22,7 +22,7 @@
   if (!enforced<Rule::AtMostOnceRecord>())
     return true;
   const RequestMeta &Meta = CurrentJob.m_Meta;
-  const AttemptRank Rank{.m_Attempt = Meta.m_Attempt, .m_Query = Query};
+  const AttemptRank Rank{.m_Attempt = Meta.m_Attempt, .m_ClearingQuery = Query};
   OutcomeRecord *Record = findRecord(Meta);
   if (Record == nullptr) {
     if (Meta.m_Attempt > 1 || Query != 0) {
@@ -87,7 +87,7 @@
           Query.m_Meta);
     return;
   }
-  if (Query.m_Forward != 0)
+  if (Query.m_ForwardStream != 0)
     answerForwardQuery(Query, From, Now);
   else
     clearRetry(Query, From, Now);
@@ -95,7 +95,7 @@
 
 void Executor::answerForwardQuery(const OutcomeQuery &Query,
                                   const PeerAddress &From, TimePoint Now) {
-  const bool IsNew = m_ReplayWindow.accept(Query.m_Forward);
+  const bool IsNew = m_ReplayWindow.accept(Query.m_ForwardStream);
   OutcomeRecord *Record = findRecord(Query.m_Meta);
   if (Record != nullptr && Record->m_State != RecordState::Cleared) {
     replyRecord(*Record, From, Query.m_Stream, Query.m_Meta);
@@ -115,7 +115,7 @@
                           TimePoint Now) {
   const RequestMeta &Meta = Query.m_Meta;
   const AttemptRank Rank{.m_Attempt = Meta.m_Attempt,
-                         .m_Query = Query.m_Stream};
+                         .m_ClearingQuery = Query.m_Stream};
   OutcomeRecord *Record = findRecord(Meta);
   if (Record != nullptr && Record->m_State != RecordState::Cleared) {
     if (Record->m_State == RecordState::Pending ||
@@ -140,9 +140,10 @@
   const Permit Current = permitFor(Candidate, Now);
   if (Record == nullptr)
     Record = &m_Outcomes.insert(Meta.m_Service, Meta.m_Id, Now);
-  if (Record->m_Asked != 0 && Record->m_Asked != Query.m_Asked)
+  if (Record->m_AskedSessionsDigest != 0 &&
+      Record->m_AskedSessionsDigest != Query.m_AskedSessionsDigest)
     Record->m_AskedSetsDiffer = true;
-  Record->m_Asked = Query.m_Asked;
+  Record->m_AskedSessionsDigest = Query.m_AskedSessionsDigest;
   Record->m_State = RecordState::Cleared;
   Record->m_Rank = Rank;
   Record->m_Epoch = Current.m_Granted ? Current.m_Epoch : Epoch();
@@ -156,7 +157,8 @@
   Reply.m_MemoryAge =
       Record->m_AskedSetsDiffer ? Duration(0) : memoryAge(Meta, Now);
   if (Candidate.m_Shard)
-    Reply.m_Former = m_Context.coordinator().formerOwner(*Candidate.m_Shard);
+    Reply.m_FormerOwner =
+        m_Context.coordinator().formerOwner(*Candidate.m_Shard);
   sendReply(From, std::move(Reply), Meta);
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -132,9 +132,9 @@
   });
 }
 
-void Node::onCallerGone(RequestHandle Request, TimePoint Now) {
-  m_Impl->handleEvent(Now,
-                      [&] { m_Impl->m_Entrance.onCallerGone(Request, Now); });
+void Node::onCallerDisconnected(RequestHandle Request, TimePoint Now) {
+  m_Impl->handleEvent(
+      Now, [&] { m_Impl->m_Entrance.onCallerDisconnected(Request, Now); });
 }
 
 void Node::onControl(const ControlMessage &Message, const PeerAddress &From,
@@ -161,7 +161,7 @@
   });
 }
 
-void Node::onOrderAnswering(OrderId Order, HttpAnswer Head, TimePoint Now) {
+void Node::onOrderAnswerHead(OrderId Order, HttpAnswer Head, TimePoint Now) {
   m_Impl->handleEvent(
       Now, [&] { m_Impl->m_Executor.onAnswerHead(Order, std::move(Head)); });
 }
--- a/tests/fake_events.h
+++ b/tests/fake_events.h
@@ -48,9 +48,9 @@
 
 /// Random draws that are the same with every standard library, whose
 /// distributions may differ.
-class Dice {
+class RandomSource {
 public:
-  explicit Dice(std::uint64_t Seed) : m_Engine(Seed) {}
+  explicit RandomSource(std::uint64_t Seed) : m_Engine(Seed) {}
 
   std::uint64_t below(std::uint64_t Bound) { return m_Engine() % Bound; }
   bool chance(unsigned Percent) { return below(100) < Percent; }
--- a/tests/fake_network.h
+++ b/tests/fake_network.h
@@ -15,7 +15,7 @@
                                      PeerMessage)>;
 
   FakeNetwork(EventQueue &Queue, std::uint64_t Seed)
-      : m_Queue(Queue), m_Dice(Seed) {}
+      : m_Queue(Queue), m_Random(Seed) {}
 
   unsigned m_LossPercent = 0;
   unsigned m_DuplicatePercent = 0;
@@ -49,9 +49,9 @@
   void send(std::size_t Sender, std::size_t Receiver,
             const PeerMessage &Message) {
     if (m_SilentLinks.contains({Sender, Receiver}) ||
-        m_Dice.chance(m_LossPercent))
+        m_Random.chance(m_LossPercent))
       return;
-    const int Copies = m_Dice.chance(m_DuplicatePercent) ? 2 : 1;
+    const int Copies = m_Random.chance(m_DuplicatePercent) ? 2 : 1;
     for (int Copy = 0; Copy < Copies; ++Copy)
       m_Queue.after(delay(), [this, Sender, Receiver, Message] {
         if (!m_CutLinks.contains({Sender, Receiver}))
@@ -61,14 +61,14 @@
 
 private:
   Duration delay() {
-    Duration Result = m_Dice.between(microseconds(200), microseconds(1500));
-    if (m_Dice.chance(m_LatePercent))
-      Result += m_Dice.between(Duration(0), m_LateDelay);
+    Duration Result = m_Random.between(microseconds(200), microseconds(1500));
+    if (m_Random.chance(m_LatePercent))
+      Result += m_Random.between(Duration(0), m_LateDelay);
     return Result;
   }
 
   EventQueue &m_Queue;
-  Dice m_Dice;
+  RandomSource m_Random;
   std::set<std::pair<std::size_t, std::size_t>> m_CutLinks;
   std::set<std::pair<std::size_t, std::size_t>> m_SilentLinks;
 };
--- a/tests/fake_table.h
+++ b/tests/fake_table.h
@@ -14,7 +14,7 @@
   using Done = std::function<void(TableReply)>;
 
   FakeTable(EventQueue &Queue, std::uint64_t Seed)
-      : m_Queue(Queue), m_Dice(Seed) {}
+      : m_Queue(Queue), m_Random(Seed) {}
 
   // Injected faults. They apply to all clients unless stated otherwise.
   bool m_Down = false;
@@ -47,7 +47,7 @@
     m_Queue.after(m_Delay, [this, Client, Commit, Reply] {
       if (m_Down || m_CutOff[Client])
         respond({TableStatus::Unavailable, {}}, Reply);
-      else if (m_Dice.chance(m_AmbiguousPercent))
+      else if (m_Random.chance(m_AmbiguousPercent))
         commitWithoutReply(Commit, Reply);
       else
         respond(commitNow(Commit), Reply);
@@ -96,18 +96,18 @@
   }
 
   void commitWithoutReply(const Transaction &Commit, const Done &Reply) {
-    const std::uint64_t Outcome = m_Dice.below(3);
+    const std::uint64_t Outcome = m_Random.below(3);
     if (Outcome == 0)
       commitNow(Commit);
     if (Outcome == 1)
-      m_Queue.after(m_Dice.between(milliseconds(5), seconds(4)),
+      m_Queue.after(m_Random.between(milliseconds(5), seconds(4)),
                     [this, Commit] { commitNow(Commit); });
-    m_Queue.after(m_Dice.between(milliseconds(50), milliseconds(600)),
+    m_Queue.after(m_Random.between(milliseconds(50), milliseconds(600)),
                   [Reply] { Reply({TableStatus::Ambiguous, {}}); });
   }
 
   EventQueue &m_Queue;
-  Dice m_Dice;
+  RandomSource m_Random;
   /// A deleted row keeps its version and has an empty value.
   std::map<std::string, Row> m_Rows;
 };
--- a/tests/fake_target.h
+++ b/tests/fake_target.h
@@ -21,7 +21,7 @@
   using RunCallback = std::function<void(const StartOrder &)>;
 
   FakeTarget(EventQueue &Queue, std::uint64_t Seed)
-      : m_Queue(Queue), m_Dice(Seed) {}
+      : m_Queue(Queue), m_Random(Seed) {}
 
   bool m_ChecksFences = false;
   /// Whether orders whose deadline has passed are aborted.
@@ -47,7 +47,7 @@
 
   /// Starts an order. Its deadline must be in global time.
   void start(const StartOrder &Order, EndCallback Report) {
-    const Duration ServiceTime = m_Dice.between(
+    const Duration ServiceTime = m_Random.between(
         milliseconds(1), m_Cold ? m_MaxServiceTime * 8 : m_MaxServiceTime);
     m_Queue.after(ServiceTime / 2,
                   [this, Order, Report, ServiceTime, Run = m_Run] {
@@ -74,7 +74,7 @@
       Report(OrderEnd::Aborted, {});
       return;
     }
-    if (m_Cold && m_Dice.chance(30)) {
+    if (m_Cold && m_Random.chance(30)) {
       Report(OrderEnd::Shed, {});
       return;
     }
@@ -101,7 +101,7 @@
   }
 
   EventQueue &m_Queue;
-  Dice m_Dice;
+  RandomSource m_Random;
   bool m_Frozen = false;
   unsigned m_Run = 0;
   std::vector<EventQueue::Action> m_Deferred;
--- a/tests/node_rig.cpp
+++ b/tests/node_rig.cpp
@@ -54,7 +54,7 @@
 } // namespace
 
 NodeRig::NodeRig(RigOptions Options)
-    : m_Options(Options), m_Dice(Options.m_Seed), m_Oracle(m_Queue),
+    : m_Options(Options), m_Random(Options.m_Seed), m_Oracle(m_Queue),
       m_Table(m_Queue, Options.m_Seed + 1),
       m_Network(m_Queue, Options.m_Seed + 2), m_FaultFreeSince(m_Queue.now()) {
   m_Network.m_Deliver = [this](std::size_t Receiver, std::size_t Sender,
@@ -82,13 +82,14 @@
     ThisDaemon.m_Domain = std::string(1, static_cast<char>('a' + I % 3));
     ThisDaemon.m_Service = I < KeyedDaemons ? Keyed : Pool;
     ThisDaemon.m_Peer = PeerAddress("127.0.0.1:" + std::to_string(7000 + I));
-    const auto Drift = static_cast<int>(m_Dice.below(2 * MaxDriftPermille + 1));
+    const auto Drift =
+        static_cast<int>(m_Random.below(2 * MaxDriftPermille + 1));
     ThisDaemon.m_Rate = 1.0 + (Drift - MaxDriftPermille) / 1000.0;
-    ThisDaemon.m_Offset = m_Dice.between(Duration(0), seconds(100000));
+    ThisDaemon.m_Offset = m_Random.between(Duration(0), seconds(100000));
     ThisDaemon.m_Target =
         std::make_unique<FakeTarget>(m_Queue, Options.m_Seed + 10 + I);
-    ThisDaemon.m_Target->m_ChecksFences = m_Dice.chance(50);
-    ThisDaemon.m_Target->m_EnforcesDeadlines = m_Dice.chance(70);
+    ThisDaemon.m_Target->m_ChecksFences = m_Random.chance(50);
+    ThisDaemon.m_Target->m_EnforcesDeadlines = m_Random.chance(70);
     ThisDaemon.m_Target->m_OnRun = [this, I](const StartOrder &Order) {
       m_Oracle.onRun(Order.m_Meta, Order.m_Http.m_Path, I);
     };
--- a/tests/node_rig.h
+++ b/tests/node_rig.h
@@ -146,7 +146,7 @@
   void traceNodeStates();
 
   RigOptions m_Options;
-  Dice m_Dice;
+  RandomSource m_Random;
   EventQueue m_Queue;
   NodeOracle m_Oracle;
   FakeTable m_Table;
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -231,9 +231,9 @@
     m_Daemons[Index].m_OpenAttempts[Incoming.m_Handle] = Attempt;
     Self.onCallerRequest(Incoming, Local);
   });
-  if (m_Dice.chance(EarlyRetryPercent) && Meta.m_Attempt < MaxAttempts)
-    m_Queue.after(m_Dice.between(milliseconds(1), Limit),
-                  [this, Client, Other = m_Dice.below(m_Daemons.size()),
+  if (m_Random.chance(EarlyRetryPercent) && Meta.m_Attempt < MaxAttempts)
+    m_Queue.after(m_Random.between(milliseconds(1), Limit),
+                  [this, Client, Other = m_Random.below(m_Daemons.size()),
                    Limit] { sendAttempt(Client, Other, Limit); });
   // A caller without an answer gives up shortly after its deadline and may
   // retry at another daemon.
@@ -249,11 +249,12 @@
 
 void NodeRig::scheduleRetry(const std::shared_ptr<Caller> &Client,
                             Duration Limit) {
-  if (m_Ending || Client->m_Meta.m_Attempt >= MaxAttempts || m_Dice.chance(30))
+  if (m_Ending || Client->m_Meta.m_Attempt >= MaxAttempts ||
+      m_Random.chance(30))
     return;
-  const std::size_t Index = m_Dice.below(m_Daemons.size());
+  const std::size_t Index = m_Random.below(m_Daemons.size());
   m_Queue.after(
-      m_Dice.between(milliseconds(5), milliseconds(1500)),
+      m_Random.between(milliseconds(5), milliseconds(1500)),
       [this, Client, Index, Limit] { sendAttempt(Client, Index, Limit); });
 }
 
@@ -267,8 +268,8 @@
   Config Next = Base;
   Change(Next);
   Next.m_Version = ConfigVersion(Base.m_Version.value() + 1);
-  Transaction Commit =
-      makeConfigCommit(Current, Base, Next, WriteId(m_Dice.below(1ULL << 62U)));
+  Transaction Commit = makeConfigCommit(Current, Base, Next,
+                                        WriteId(m_Random.below(1ULL << 62U)));
   appendHeadUpdate(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
                    {{ConfigHeadRowKey, Next.m_Version.value()}});
   if (m_Table.commitNow(Commit).m_Status != TableStatus::Ok)
@@ -293,7 +294,7 @@
     Next.m_Version = ConfigVersion(Base.m_Version.value() + 1);
     Next.m_Manifest.m_Deployment = Name + std::to_string(First % 10);
     Transaction Commit = makeConfigCommit(Current, Base, Next,
-                                          WriteId(m_Dice.below(1ULL << 62U)));
+                                          WriteId(m_Random.below(1ULL << 62U)));
     appendHeadUpdate(Commit, *parseHeadRow(Head),
                      {{ConfigHeadRowKey, Next.m_Version.value()}});
     Accepted += m_Table.commitNow(Commit).m_Status == TableStatus::Ok ? 1 : 0;
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -17,7 +17,7 @@
 /// Number of steps after which all faults end and the rig is checked.
 constexpr std::uint64_t SettleEvery = 50;
 
-RigAction draw(Dice &Random) {
+RigAction draw(RandomSource &Random) {
   // Most steps let time pass or send requests.
   const std::uint64_t Percent = Random.below(100);
   if (Percent < 40)
@@ -62,7 +62,7 @@
 ///
 /// \returns false if an invariant was violated.
 bool runEpisode(std::uint64_t Seed, std::uint64_t Steps, Totals &Sum) {
-  Dice Random(Seed);
+  RandomSource Random(Seed);
   NodeRig Rig(optionsFor(Seed));
   for (std::uint64_t Step = 1; Step <= Steps && !Rig.failed(); ++Step) {
     const RigAction Kind =
