--- a/tests/router_rig.h
+++ b/tests/router_rig.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "fake_table_service.h"
-#include "platform/http_marks.h"
+#include "platform/http_exchange_format.h"
 #include "platform/operator_tables.h"
 #include "router/router.h"
 #include "support/raw_server.h"
--- a/tests/unit-platform.cpp
+++ b/tests/unit-platform.cpp
@@ -1,6 +1,6 @@
 // Decoding and encoding of the platform's settings, headers, heartbeats and
 // configuration.
-#include "platform/http_marks.h"
+#include "platform/http_exchange_format.h"
 #include "platform/operator_tables.h"
 #include "platform/settings_file.h"
 #include "platform/target_control.h"
