--- a/src/adapters/caller_http/answer.cpp
+++ b/src/adapters/caller_http/answer.cpp
@@ -15,19 +15,19 @@
 constexpr std::uint16_t StatusNotFound = 404;
 constexpr std::uint16_t StatusUnavailable = 503;
 constexpr std::uint16_t StatusTimeout = 504;
-constexpr std::size_t StreamBlock = std::size_t{64} * 1024;
-constexpr std::string_view OwnPrefix = "Balsamwheel-";
+constexpr std::size_t StreamBlockBytes = std::size_t{64} * 1024;
+constexpr std::string_view OwnHeaderPrefix = "Balsamwheel-";
 
 /// Headers that concern one connection only, or that the server sets.
-constexpr std::array<std::string_view, 8> ConnectionHeaders{
+constexpr std::array<std::string_view, 8> HopByHopHeaders{
     "Connection",     "Keep-Alive", "Proxy-Connection", "Transfer-Encoding",
     "Content-Length", "Trailer",    "Upgrade",          "Date"};
 
-bool isPassedOn(std::string_view Name) {
-  if (sameHeaderName(Name.substr(0, OwnPrefix.size()), OwnPrefix))
+bool isEndToEnd(std::string_view Name) {
+  if (sameHeaderName(Name.substr(0, OwnHeaderPrefix.size()), OwnHeaderPrefix))
     return false;
   return std::none_of(
-      ConnectionHeaders.begin(), ConnectionHeaders.end(),
+      HopByHopHeaders.begin(), HopByHopHeaders.end(),
       [Name](std::string_view Other) { return sameHeaderName(Name, Other); });
 }
 
@@ -40,7 +40,7 @@
 void addTargetHeaders(MHD_Response *Response, const AnswerCaller &Answer,
                       const RequestId &Id) {
   for (const auto &[Name, Value] : Answer.m_Http.m_Headers)
-    if (isPassedOn(Name))
+    if (isEndToEnd(Name))
       addHeader(Response, Name.c_str(), Value);
   addHeader(Response, "Balsamwheel-Outcome",
             std::string(toString(Answer.m_Outcome)));
@@ -64,16 +64,17 @@
   MHD_Connection *m_Connection = nullptr;
 };
 
-ssize_t readStream(void *State, std::uint64_t, char *Target, std::size_t Room) {
+ssize_t readStream(void *State, std::uint64_t, char *Buffer,
+                   std::size_t Capacity) {
   auto &Reader = *static_cast<StreamReader *>(State);
   const std::size_t Left = Reader.m_Prefix.size() - Reader.m_PrefixRead;
   if (Left > 0) {
-    const std::size_t Part = std::min(Room, Left);
-    Reader.m_Prefix.copy(Target, Part, Reader.m_PrefixRead);
+    const std::size_t Part = std::min(Capacity, Left);
+    Reader.m_Prefix.copy(Buffer, Part, Reader.m_PrefixRead);
     Reader.m_PrefixRead += Part;
     return static_cast<ssize_t>(Part);
   }
-  const std::size_t Part = Reader.m_Rest->read(Target, Room);
+  const std::size_t Part = Reader.m_Rest->read(Buffer, Capacity);
   if (Part > 0)
     return static_cast<ssize_t>(Part);
   switch (Reader.m_Rest->state()) {
@@ -100,10 +101,10 @@
 
 } // namespace
 
-std::uint16_t statusOf(Outcome Value, Reason Why) {
-  if (Why == Reason::BadRequest)
+std::uint16_t statusOf(Outcome Value, Reason Cause) {
+  if (Cause == Reason::BadRequest)
     return StatusBadRequest;
-  if (Why == Reason::UnknownService)
+  if (Cause == Reason::UnknownService)
     return StatusNotFound;
   return Value == Outcome::Unknown ? StatusTimeout : StatusUnavailable;
 }
@@ -135,22 +136,22 @@
   return Result;
 }
 
-ResponsePtr makeWholeResponse(AnswerCaller Answer, const RequestId &Id) {
+ResponsePtr makeCompleteResponse(AnswerCaller Answer, const RequestId &Id) {
   ResponsePtr Result(responseFromString(std::move(Answer.m_Http.m_Body)));
   addTargetHeaders(Result.get(), Answer, Id);
   return Result;
 }
 
-ResponsePtr makeStreamResponse(AnswerCaller Answer, const RequestId &Id,
-                               MHD_Connection *Connection,
-                               runtime::BodyPipePtr Rest) {
+ResponsePtr makeStreamedResponse(AnswerCaller Answer, const RequestId &Id,
+                                 MHD_Connection *Connection,
+                                 runtime::BodyPipePtr Rest) {
   const std::uint64_t Length = Answer.m_Http.m_BodyLength;
   auto *Reader = new StreamReader{.m_Prefix = std::move(Answer.m_Http.m_Body),
                                   .m_Rest = std::move(Rest),
                                   .m_Connection = Connection};
   ResponsePtr Result(MHD_create_response_from_callback(
-      Length > 0 ? Length : MHD_SIZE_UNKNOWN, StreamBlock, &readStream, Reader,
-      &freeStream));
+      Length > 0 ? Length : MHD_SIZE_UNKNOWN, StreamBlockBytes, &readStream,
+      Reader, &freeStream));
   addTargetHeaders(Result.get(), Answer, Id);
   return Result;
 }
--- a/src/adapters/caller_http/answer.h
+++ b/src/adapters/caller_http/answer.h
@@ -31,7 +31,7 @@
 };
 
 /// The status that goes with an outcome other than done.
-std::uint16_t statusOf(Outcome Value, Reason Why);
+std::uint16_t statusOf(Outcome Value, Reason Cause);
 
 /// The JSON body of a problem.
 std::string problemBody(const Problem &Value);
@@ -40,11 +40,11 @@
 ResponsePtr makeProblemResponse(const Problem &Value);
 
 /// Builds a response from a target's answer that is here whole.
-ResponsePtr makeWholeResponse(AnswerCaller Answer, const RequestId &Id);
+ResponsePtr makeCompleteResponse(AnswerCaller Answer, const RequestId &Id);
 
 /// Builds a response whose body is read from a pipe as it comes.
-ResponsePtr makeStreamResponse(AnswerCaller Answer, const RequestId &Id,
-                               MHD_Connection *Connection,
-                               runtime::BodyPipePtr Rest);
+ResponsePtr makeStreamedResponse(AnswerCaller Answer, const RequestId &Id,
+                                 MHD_Connection *Connection,
+                                 runtime::BodyPipePtr Rest);
 
 } // namespace balsamwheel::caller_http
--- a/src/adapters/caller_http/caller_exchange.h
+++ b/src/adapters/caller_http/caller_exchange.h
@@ -29,7 +29,7 @@
   /// The rest of a long body.
   runtime::BodyPipePtr m_Upload;
   /// The request was handed over and an answer will come.
-  bool m_HandedOver = false;
+  bool m_Submitted = false;
   /// Set when the request is refused while its body still comes.
   std::optional<Refusal> m_Refusal;
   bool m_Responded = false;
--- a/src/adapters/caller_http/caller_server.cpp
+++ b/src/adapters/caller_http/caller_server.cpp
@@ -18,11 +18,11 @@
 namespace {
 
 constexpr std::uint16_t StatusLengthRequired = 411;
-constexpr Duration BusyRetry = std::chrono::milliseconds(100);
+constexpr Duration BusyRetryAfter = std::chrono::milliseconds(100);
 
-MHD_Result addHeaderValue(void *Target, MHD_ValueKind, const char *Name,
+MHD_Result addHeaderValue(void *Output, MHD_ValueKind, const char *Name,
                           const char *Value) {
-  static_cast<RequestHead *>(Target)->m_Headers.emplace_back(
+  static_cast<RequestHead *>(Output)->m_Headers.emplace_back(
       Name, Value != nullptr ? Value : "");
   return MHD_YES;
 }
@@ -78,18 +78,18 @@
   MHD_Result readHead(CallerExchange &Exchange, MHD_Connection *Connection,
                       const char *Method);
   MHD_Result readBody(CallerExchange &Exchange, std::string_view Data,
-                      std::size_t &Left);
+                      std::size_t &Remaining);
   bool startUpload(CallerExchange &Exchange);
   MHD_Result finishRequest(CallerExchange &Exchange);
   /// False when the answer is here already.
   static bool suspendUntilAnswer(CallerExchange &Exchange);
-  void handOver(CallerExchange &Exchange);
-  MHD_Result refuse(CallerExchange &Exchange, const Refusal &Why);
-  MHD_Result refuseHead(CallerExchange &Exchange, const Refusal &Why);
+  void submitRequest(CallerExchange &Exchange);
+  MHD_Result refuse(CallerExchange &Exchange, const Refusal &Cause);
+  MHD_Result refuseHead(CallerExchange &Exchange, const Refusal &Cause);
   MHD_Result respond(CallerExchange &Exchange);
   MHD_Result queue(CallerExchange &Exchange, unsigned Status,
                    const ResponsePtr &Response);
-  RequestId freshId(const CallerExchange &Exchange) const;
+  RequestId generateId(const CallerExchange &Exchange) const;
   std::shared_ptr<CallerExchange> find(RequestHandle Handle) const;
 
   const CallerServerOptions m_Options;
@@ -138,14 +138,14 @@
   if (m_Daemon == nullptr)
     return;
   m_Stopping = true;
-  std::vector<std::shared_ptr<CallerExchange>> Left;
+  std::vector<std::shared_ptr<CallerExchange>> OpenExchanges;
   {
     const std::scoped_lock Lock(m_Mutex);
     for (const auto &[Handle, Exchange] : m_Open)
-      Left.push_back(Exchange);
+      OpenExchanges.push_back(Exchange);
   }
   // libmicrohttpd must not be stopped with suspended connections.
-  for (const auto &Exchange : Left) {
+  for (const auto &Exchange : OpenExchanges) {
     if (Exchange->m_Upload)
       Exchange->m_Upload->fail();
     const std::scoped_lock Lock(Exchange->m_Mutex);
@@ -160,7 +160,7 @@
 CallerExchange *CallerServer::Impl::open(const char *Uri) {
   auto Exchange = std::make_shared<CallerExchange>();
   Exchange->m_Handle = RequestHandle(++m_LastHandle);
-  Exchange->m_Head.m_Target = Uri;
+  Exchange->m_Head.m_RequestTarget = Uri;
   CallerExchange *Result = Exchange.get();
   const std::scoped_lock Lock(m_Mutex);
   m_Open.emplace(Result->m_Handle, std::move(Exchange));
@@ -170,7 +170,7 @@
 void CallerServer::Impl::close(CallerExchange &Exchange,
                                MHD_RequestTerminationCode Code) {
   const RequestHandle Handle = Exchange.m_Handle;
-  const bool Unanswered = Exchange.m_HandedOver && !Exchange.m_Responded;
+  const bool Unanswered = Exchange.m_Submitted && !Exchange.m_Responded;
   if (Exchange.m_Upload && Code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
     Exchange.m_Upload->fail();
   {
@@ -188,7 +188,7 @@
   return Found != m_Open.end() ? Found->second : nullptr;
 }
 
-RequestId CallerServer::Impl::freshId(const CallerExchange &Exchange) const {
+RequestId CallerServer::Impl::generateId(const CallerExchange &Exchange) const {
   char Text[40];
   std::snprintf(Text, sizeof(Text), "%016llx-%llx",
                 static_cast<unsigned long long>(m_Options.m_Session),
@@ -208,46 +208,46 @@
   if (const char *Key =
           MHD_lookup_connection_value(Connection, MHD_GET_ARGUMENT_KIND, "key"))
     Head.m_QueryKey = Key;
-  const std::shared_ptr<const Config> Known = m_Handlers.m_Config();
-  auto Parsed = parseRequest(Head, Known.get(), freshId(Exchange));
-  if (const auto *Why = std::get_if<Refusal>(&Parsed))
-    return refuseHead(Exchange, *Why);
+  const std::shared_ptr<const Config> ActiveConfig = m_Handlers.m_Config();
+  auto Parsed = parseRequest(Head, ActiveConfig.get(), generateId(Exchange));
+  if (const auto *Cause = std::get_if<Refusal>(&Parsed))
+    return refuseHead(Exchange, *Cause);
   Exchange.m_Parsed = std::get<ParsedRequest>(std::move(Parsed));
   return MHD_YES;
 }
 
 MHD_Result CallerServer::Impl::refuseHead(CallerExchange &Exchange,
-                                          const Refusal &Why) {
+                                          const Refusal &Cause) {
   // Answering before the body has come closes the connection, so a request
   // without a body is answered once it is complete.
   if (MHD_lookup_connection_value(Exchange.m_Connection, MHD_HEADER_KIND,
                                   "Content-Length") != nullptr ||
       MHD_lookup_connection_value(Exchange.m_Connection, MHD_HEADER_KIND,
                                   "Transfer-Encoding") != nullptr)
-    return refuse(Exchange, Why);
-  Exchange.m_Refusal = Why;
+    return refuse(Exchange, Cause);
+  Exchange.m_Refusal = Cause;
   return MHD_YES;
 }
 
 MHD_Result CallerServer::Impl::readBody(CallerExchange &Exchange,
                                         std::string_view Data,
-                                        std::size_t &Left) {
+                                        std::size_t &Remaining) {
   if (Exchange.m_Refusal) {
-    Left = 0;
+    Remaining = 0;
     return MHD_YES;
   }
   if (!Exchange.m_Upload &&
       Exchange.m_Body.size() + Data.size() <= InlineBodyLimit) {
     Exchange.m_Body.append(Data);
-    Left = 0;
+    Remaining = 0;
     return MHD_YES;
   }
   if (!Exchange.m_Upload && !startUpload(Exchange)) {
-    Left = 0;
+    Remaining = 0;
     return MHD_YES;
   }
   if (Exchange.m_Upload->tryWrite(Data)) {
-    Left = 0;
+    Remaining = 0;
     return MHD_YES;
   }
   MHD_Connection *Connection = Exchange.m_Connection;
@@ -267,7 +267,7 @@
   }
   Exchange.m_Upload =
       m_Handlers.m_MakePipe(Exchange.m_Body, Exchange.m_Parsed.m_BodyLength);
-  handOver(Exchange);
+  submitRequest(Exchange);
   return true;
 }
 
@@ -279,8 +279,8 @@
   if (Exchange.m_Upload)
     Exchange.m_Upload->finish();
   if (suspendUntilAnswer(Exchange)) {
-    if (!Exchange.m_HandedOver)
-      handOver(Exchange);
+    if (!Exchange.m_Submitted)
+      submitRequest(Exchange);
     return MHD_YES;
   }
   return respond(Exchange);
@@ -295,8 +295,8 @@
   return true;
 }
 
-void CallerServer::Impl::handOver(CallerExchange &Exchange) {
-  Exchange.m_HandedOver = true;
+void CallerServer::Impl::submitRequest(CallerExchange &Exchange) {
+  Exchange.m_Submitted = true;
   const RequestHandle Handle = Exchange.m_Handle;
   IncomingRequest Request;
   Request.m_Handle = Handle;
@@ -305,7 +305,7 @@
   Request.m_Deadline = runtime::bootNow() + Exchange.m_Parsed.m_TimeLeft;
   HttpRequest &Http = Request.m_Http;
   Http.m_Method = std::move(Exchange.m_Head.m_Method);
-  Http.m_Path = std::move(Exchange.m_Head.m_Target);
+  Http.m_Path = std::move(Exchange.m_Head.m_RequestTarget);
   Http.m_Headers = std::move(Exchange.m_Head.m_Headers);
   Http.m_Body = std::move(Exchange.m_Body);
   Http.m_BodyLength =
@@ -317,7 +317,7 @@
   answer({.m_Request = Handle,
           .m_Outcome = Outcome::Wait,
           .m_Reason = Reason::Overloaded,
-          .m_RetryAfter = BusyRetry,
+          .m_RetryAfter = BusyRetryAfter,
           .m_OwnerHint = {},
           .m_Http = {}},
          nullptr);
@@ -343,17 +343,17 @@
 }
 
 MHD_Result CallerServer::Impl::refuse(CallerExchange &Exchange,
-                                      const Refusal &Why) {
+                                      const Refusal &Cause) {
   if (m_Handlers.m_OnRefused)
-    m_Handlers.m_OnRefused(Why.m_Reason);
+    m_Handlers.m_OnRefused(Cause.m_Reason);
   const RequestId &Id = Exchange.m_Parsed.m_Meta.m_Id;
-  return queue(Exchange, Why.m_Status,
-               makeProblemResponse({.m_Status = Why.m_Status,
-                                    .m_Outcome = Why.m_Outcome,
-                                    .m_Reason = Why.m_Reason,
-                                    .m_Detail = Why.m_Detail,
+  return queue(Exchange, Cause.m_Status,
+               makeProblemResponse({.m_Status = Cause.m_Status,
+                                    .m_Outcome = Cause.m_Outcome,
+                                    .m_Reason = Cause.m_Reason,
+                                    .m_Detail = Cause.m_Detail,
                                     .m_Id = Id,
-                                    .m_RetryAfter = Why.m_RetryAfter}));
+                                    .m_RetryAfter = Cause.m_RetryAfter}));
 }
 
 MHD_Result CallerServer::Impl::respond(CallerExchange &Exchange) {
@@ -377,12 +377,12 @@
   }
   const unsigned Status = Answer.m_Http.m_Status;
   if (Answer.m_Http.m_BodyStream == 0)
-    return queue(Exchange, Status, makeWholeResponse(std::move(Answer), Id));
+    return queue(Exchange, Status, makeCompleteResponse(std::move(Answer), Id));
   if (!Rest)
     return MHD_NO;
   return queue(Exchange, Status,
-               makeStreamResponse(std::move(Answer), Id, Exchange.m_Connection,
-                                  std::move(Rest)));
+               makeStreamedResponse(std::move(Answer), Id,
+                                    Exchange.m_Connection, std::move(Rest)));
 }
 
 MHD_Result CallerServer::Impl::queue(CallerExchange &Exchange, unsigned Status,
--- a/src/adapters/caller_http/request_parser.cpp
+++ b/src/adapters/caller_http/request_parser.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint16_t StatusNotFound = 404;
 constexpr std::uint16_t StatusTooLarge = 413;
 constexpr std::uint16_t StatusUnavailable = 503;
-constexpr Duration NoConfigRetry = std::chrono::milliseconds(500);
+constexpr Duration NoConfigRetryAfter = std::chrono::milliseconds(500);
 
 const std::string *findHeader(const RequestHead &Head, std::string_view Name) {
   for (const auto &[Key, Value] : Head.m_Headers)
@@ -50,14 +50,15 @@
 /// A number in a header, within bounds; the default when absent.
 ///
 /// \returns none when it is no such number.
-std::optional<std::uint64_t>
-numberHeader(const RequestHead &Head, std::string_view Name,
-             std::uint64_t Least, std::uint64_t Most, std::uint64_t Default) {
+std::optional<std::uint64_t> numberHeader(const RequestHead &Head,
+                                          std::string_view Name,
+                                          std::uint64_t Min, std::uint64_t Max,
+                                          std::uint64_t Default) {
   const std::string *Text = findHeader(Head, Name);
   if (Text == nullptr)
     return Default;
   const std::optional<std::uint64_t> Value = parseNumber(*Text);
-  if (!Value || *Value < Least || *Value > Most)
+  if (!Value || *Value < Min || *Value > Max)
     return std::nullopt;
   return Value;
 }
@@ -66,10 +67,11 @@
   return {.m_Status = StatusBadRequest, .m_Detail = std::move(Detail)};
 }
 
-constexpr std::uint64_t MaxMilliseconds = 24ULL * 3600 * 1000;
+constexpr std::uint64_t MaxDurationMs = 24ULL * 3600 * 1000;
 constexpr std::uint64_t MaxAttempt = 1'000'000;
 
-const RequestClass *findClass(const Service &Target, std::string_view Name) {
+const RequestClass *findClassByName(const Service &Target,
+                                    std::string_view Name) {
   for (const RequestClass &Class : Target.m_Classes)
     if (Class.m_Name.value() == Name)
       return &Class;
@@ -79,13 +81,13 @@
 /// Builds a ParsedRequest step by step; each step refuses or returns none.
 class Parser {
 public:
-  Parser(const RequestHead &Head, const Config &Known)
-      : m_Head(Head), m_Config(Known) {}
+  Parser(const RequestHead &Head, const Config &ActiveConfig)
+      : m_Head(Head), m_Config(ActiveConfig) {}
 
   std::optional<Refusal> readService() {
     const std::string *Header = findHeader(m_Head, "Balsamwheel-Service");
     const std::string Name =
-        Header ? *Header : std::string(firstSegment(m_Head.m_Target));
+        Header ? *Header : std::string(firstSegment(m_Head.m_RequestTarget));
     m_Service = m_Config.m_Manifest.findService(ServiceName(Name));
     if (m_Service != nullptr) {
       m_Result.m_Meta.m_Service = m_Service->m_Name;
@@ -115,9 +117,10 @@
 
   std::optional<Refusal> readClass() {
     const std::string *Name = findHeader(m_Head, "Balsamwheel-Class");
-    const RequestClass *Class = Name ? findClass(*m_Service, *Name)
-                                     : &matchClass(*m_Service, m_Head.m_Method,
-                                                   pathOf(m_Head.m_Target));
+    const RequestClass *Class =
+        Name ? findClassByName(*m_Service, *Name)
+             : &matchClass(*m_Service, m_Head.m_Method,
+                           pathOf(m_Head.m_RequestTarget));
     if (Class == nullptr)
       return badRequest("the service has no class '" + *Name + "'");
     m_Result.m_Meta.m_Class = Class->m_Name;
@@ -129,30 +132,30 @@
 
   std::optional<Refusal> readDeadline() {
     const auto Deadline = numberHeader(m_Head, "Balsamwheel-Deadline-Ms", 1,
-                                       MaxMilliseconds, MaxMilliseconds);
+                                       MaxDurationMs, MaxDurationMs);
     if (!Deadline)
       return badRequest("Balsamwheel-Deadline-Ms must be a whole number of "
                         "milliseconds of at least 1");
-    const Duration Asked = std::chrono::milliseconds(*Deadline);
-    m_Result.m_TimeLeft = std::min(m_Result.m_TimeLeft, Asked);
+    const Duration Requested = std::chrono::milliseconds(*Deadline);
+    m_Result.m_TimeLeft = std::min(m_Result.m_TimeLeft, Requested);
     return std::nullopt;
   }
 
-  std::optional<Refusal> readIdentity(const RequestId &FreshId) {
+  std::optional<Refusal> readIdentity(const RequestId &GeneratedId) {
     const std::string *Id = findHeader(m_Head, "Balsamwheel-Request-Id");
     if (Id != nullptr &&
         (Id->empty() || Id->size() > MaxRequestIdLength || !isPrintable(*Id)))
       return badRequest("Balsamwheel-Request-Id must have 1 to " +
                         std::to_string(MaxRequestIdLength) +
                         " printable characters");
-    m_Result.m_Meta.m_Id = Id ? RequestId(*Id) : FreshId;
+    m_Result.m_Meta.m_Id = Id ? RequestId(*Id) : GeneratedId;
     const auto Attempt =
         numberHeader(m_Head, "Balsamwheel-Attempt", 1, MaxAttempt, 1);
     if (!Attempt)
       return badRequest("Balsamwheel-Attempt must be a whole number of at "
                         "least 1");
     const auto Age = numberHeader(m_Head, "Balsamwheel-First-Attempt-Age-Ms", 0,
-                                  MaxMilliseconds, 0);
+                                  MaxDurationMs, 0);
     if (!Age)
       return badRequest("Balsamwheel-First-Attempt-Age-Ms must be a whole "
                         "number of milliseconds");
@@ -220,16 +223,16 @@
   return *Best;
 }
 
-std::variant<ParsedRequest, Refusal> parseRequest(const RequestHead &Head,
-                                                  const Config *Known,
-                                                  const RequestId &FreshId) {
-  if (Known == nullptr)
+std::variant<ParsedRequest, Refusal>
+parseRequest(const RequestHead &Head, const Config *ActiveConfig,
+             const RequestId &GeneratedId) {
+  if (ActiveConfig == nullptr)
     return Refusal{.m_Status = StatusUnavailable,
                    .m_Outcome = Outcome::Wait,
                    .m_Reason = Reason::NoOwner,
                    .m_Detail = "no configuration is known yet",
-                   .m_RetryAfter = NoConfigRetry};
-  Parser Steps(Head, *Known);
+                   .m_RetryAfter = NoConfigRetryAfter};
+  Parser Steps(Head, *ActiveConfig);
   if (auto Problem = Steps.readService())
     return *Problem;
   if (auto Problem = Steps.readKey())
@@ -238,7 +241,7 @@
     return *Problem;
   if (auto Problem = Steps.readDeadline())
     return *Problem;
-  if (auto Problem = Steps.readIdentity(FreshId))
+  if (auto Problem = Steps.readIdentity(GeneratedId))
     return *Problem;
   if (auto Problem = Steps.readBodyLength())
     return *Problem;
--- a/src/adapters/caller_http/request_parser.h
+++ b/src/adapters/caller_http/request_parser.h
@@ -19,7 +19,7 @@
 struct RequestHead {
   std::string m_Method;
   /// Path and query, not decoded.
-  std::string m_Target;
+  std::string m_RequestTarget;
   std::vector<std::pair<std::string, std::string>> m_Headers;
   /// Decoded query parameter "key".
   std::optional<std::string> m_QueryKey;
@@ -50,11 +50,11 @@
 /// Checks and classifies a request.
 ///
 /// \param Known the configuration in force; null while none is known.
-/// \param FreshId the id of a request that brings none.
+/// \param GeneratedId the id of a request that brings none.
 /// Complexity: linear in headers, classes and patterns.
 std::variant<ParsedRequest, Refusal> parseRequest(const RequestHead &Head,
-                                                  const Config *Known,
-                                                  const RequestId &FreshId);
+                                                  const Config *ActiveConfig,
+                                                  const RequestId &GeneratedId);
 
 /// Picks the class of a request by the longest pattern that matches.
 ///
--- a/src/adapters/http_client/exchange.cpp
+++ b/src/adapters/http_client/exchange.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 std::string_view trim(std::string_view Text) {
-  constexpr std::string_view Blank = " \t\r\n";
-  const std::size_t First = Text.find_first_not_of(Blank);
+  constexpr std::string_view Whitespace = " \t\r\n";
+  const std::size_t First = Text.find_first_not_of(Whitespace);
   if (First == std::string_view::npos)
     return {};
-  return Text.substr(First, Text.find_last_not_of(Blank) - First + 1);
+  return Text.substr(First, Text.find_last_not_of(Whitespace) - First + 1);
 }
 
 std::optional<std::uint64_t> contentLength(CURL *Easy) {
@@ -52,13 +52,13 @@
   curl_easy_cleanup(m_Easy);
 }
 
-void Exchange::begin(Transfer Work, long MaxIdleSeconds, TimePoint Now) {
-  m_Work = std::move(Work);
-  m_Begun = Now;
+void Exchange::begin(Transfer Outgoing, long MaxIdleSeconds, TimePoint Now) {
+  m_Transfer = std::move(Outgoing);
+  m_StartTime = Now;
   m_Alive = std::make_shared<Exchange *>(this);
   const auto Left =
-      std::chrono::ceil<std::chrono::milliseconds>(m_Work.m_Deadline - Now);
-  curl_easy_setopt(m_Easy, CURLOPT_URL, m_Work.m_Url.c_str());
+      std::chrono::ceil<std::chrono::milliseconds>(m_Transfer.m_Deadline - Now);
+  curl_easy_setopt(m_Easy, CURLOPT_URL, m_Transfer.m_Url.c_str());
   curl_easy_setopt(m_Easy, CURLOPT_TIMEOUT_MS,
                    std::max(1L, static_cast<long>(Left.count())));
   curl_easy_setopt(m_Easy, CURLOPT_MAXAGE_CONN, MaxIdleSeconds);
@@ -68,42 +68,42 @@
 
 void Exchange::setBody() {
   curl_easy_setopt(m_Easy, CURLOPT_HTTPGET, 1L);
-  if (m_Work.m_Upload) {
+  if (m_Transfer.m_Upload) {
     curl_easy_setopt(m_Easy, CURLOPT_UPLOAD, 1L);
     curl_easy_setopt(m_Easy, CURLOPT_INFILESIZE_LARGE,
-                     static_cast<curl_off_t>(m_Work.m_BodyLength));
-  } else if (!m_Work.m_Body.empty() || m_Work.m_Method == "POST" ||
-             m_Work.m_Method == "PUT") {
+                     static_cast<curl_off_t>(m_Transfer.m_BodyLength));
+  } else if (!m_Transfer.m_Body.empty() || m_Transfer.m_Method == "POST" ||
+             m_Transfer.m_Method == "PUT") {
     curl_easy_setopt(m_Easy, CURLOPT_POST, 1L);
-    curl_easy_setopt(m_Easy, CURLOPT_POSTFIELDS, m_Work.m_Body.data());
+    curl_easy_setopt(m_Easy, CURLOPT_POSTFIELDS, m_Transfer.m_Body.data());
     curl_easy_setopt(m_Easy, CURLOPT_POSTFIELDSIZE_LARGE,
-                     static_cast<curl_off_t>(m_Work.m_Body.size()));
-  } else if (m_Work.m_Method == "HEAD") {
+                     static_cast<curl_off_t>(m_Transfer.m_Body.size()));
+  } else if (m_Transfer.m_Method == "HEAD") {
     curl_easy_setopt(m_Easy, CURLOPT_NOBODY, 1L);
   }
-  curl_easy_setopt(m_Easy, CURLOPT_CUSTOMREQUEST, m_Work.m_Method.c_str());
+  curl_easy_setopt(m_Easy, CURLOPT_CUSTOMREQUEST, m_Transfer.m_Method.c_str());
 }
 
 void Exchange::setHeaders(TimePoint Now) {
   curl_slist *List = nullptr;
-  for (const std::string &Line : m_Work.m_Headers)
+  for (const std::string &Line : m_Transfer.m_Headers)
     List = curl_slist_append(List, Line.c_str());
   // Headers that libcurl would add of its own accord.
   for (const char *Name : {"Accept:", "Expect:", "Content-Type:"}) {
     const std::size_t Size = std::strlen(Name);
     const bool Given =
-        std::any_of(m_Work.m_Headers.begin(), m_Work.m_Headers.end(),
+        std::any_of(m_Transfer.m_Headers.begin(), m_Transfer.m_Headers.end(),
                     [Name, Size](const std::string &Line) {
                       return strncasecmp(Line.c_str(), Name, Size) == 0;
                     });
     if (!Given)
       List = curl_slist_append(List, Name);
   }
-  if (!m_Work.m_DeadlineHeader.empty()) {
-    const auto Left =
-        std::chrono::floor<std::chrono::milliseconds>(m_Work.m_Deadline - Now);
+  if (!m_Transfer.m_DeadlineHeader.empty()) {
+    const auto Left = std::chrono::floor<std::chrono::milliseconds>(
+        m_Transfer.m_Deadline - Now);
     const std::string Line =
-        m_Work.m_DeadlineHeader + ": " + std::to_string(Left.count());
+        m_Transfer.m_DeadlineHeader + ": " + std::to_string(Left.count());
     List = curl_slist_append(List, Line.c_str());
   }
   m_HeaderList = List;
@@ -115,13 +115,13 @@
 int Exchange::onBeforeRequest(void *Self, char *, char *, int, int) {
   Exchange &This = *static_cast<Exchange *>(Self);
   // libcurl calls again when it repeats a request on a new connection.
-  if (This.m_Sends > 0)
+  if (This.m_SendCount > 0)
     return CURL_PREREQFUNC_ABORT;
   const TimePoint Now = runtime::bootNow();
-  if (Now >= This.m_Work.m_Deadline ||
-      Now - This.m_Begun > This.m_Work.m_MaxSendDelay)
+  if (Now >= This.m_Transfer.m_Deadline ||
+      Now - This.m_StartTime > This.m_Transfer.m_MaxSendDelay)
     return CURL_PREREQFUNC_ABORT;
-  This.m_Sends = 1;
+  This.m_SendCount = 1;
   return CURL_PREREQFUNC_OK;
 }
 
@@ -152,7 +152,7 @@
   if (m_Download)
     return writeStream(Bytes);
   const std::size_t Total = m_Answer.m_Body.size() + Bytes.size();
-  if (!m_Work.m_MakePipe || Total <= InlineBodyLimit) {
+  if (!m_Transfer.m_MakePipe || Total <= InlineBodyLimit) {
     if (m_Answer.m_Body.empty())
       m_Answer.m_Body.reserve(
           std::min(contentLength(m_Easy).value_or(0), InlineBodyLimit));
@@ -164,7 +164,7 @@
 
 bool Exchange::beginStream() {
   const std::optional<std::uint64_t> Length = contentLength(m_Easy);
-  m_Download = m_Work.m_MakePipe(m_Answer.m_Body, Length);
+  m_Download = m_Transfer.m_MakePipe(m_Answer.m_Body, Length);
   if (!m_Download)
     return false;
   long Status = 0;
@@ -172,7 +172,7 @@
   m_Answer.m_Status = static_cast<std::uint16_t>(Status);
   m_Answer.m_BodyLength = Length.value_or(0);
   m_Answer.m_BodyStream = m_Download->id();
-  m_Work.m_OnAnswering(std::exchange(m_Answer, {}));
+  m_Transfer.m_OnAnswering(std::exchange(m_Answer, {}));
   return true;
 }
 
@@ -190,20 +190,21 @@
   return m_Download->state() == runtime::PipeState::Failed ? 0 : Bytes.size();
 }
 
-std::size_t Exchange::onRead(char *Target, std::size_t Size, std::size_t Count,
+std::size_t Exchange::onRead(char *Buffer, std::size_t Size, std::size_t Count,
                              void *Self) {
   Exchange &This = *static_cast<Exchange *>(Self);
-  const std::size_t Room = Size * Count;
-  const std::string &Prefix = This.m_Work.m_Body;
+  const std::size_t Capacity = Size * Count;
+  const std::string &Prefix = This.m_Transfer.m_Body;
   if (This.m_PrefixSent < Prefix.size()) {
-    const std::size_t Part = std::min(Room, Prefix.size() - This.m_PrefixSent);
-    Prefix.copy(Target, Part, This.m_PrefixSent);
+    const std::size_t Part =
+        std::min(Capacity, Prefix.size() - This.m_PrefixSent);
+    Prefix.copy(Buffer, Part, This.m_PrefixSent);
     This.m_PrefixSent += Part;
     return Part;
   }
-  runtime::BodyPipe &Source = *This.m_Work.m_Upload;
+  runtime::BodyPipe &Source = *This.m_Transfer.m_Upload;
   for (;;) {
-    const std::size_t Part = Source.read(Target, Room);
+    const std::size_t Part = Source.read(Buffer, Capacity);
     if (Part > 0)
       return Part;
     if (Source.state() == runtime::PipeState::Ended)
@@ -223,7 +224,7 @@
 TransferEnd Exchange::classify(CURLcode Code) const {
   if (Code == CURLE_OK)
     return TransferEnd::Answered;
-  if (m_Sends == 0)
+  if (m_SendCount == 0)
     return TransferEnd::NotSent;
   if (m_Cancelled)
     return TransferEnd::Cancelled;
@@ -234,7 +235,7 @@
 void Exchange::end(CURLcode Code, TimePoint Now) {
   TransferResult Result;
   Result.m_End = classify(Code);
-  Result.m_Latency = Now - m_Begun;
+  Result.m_Latency = Now - m_StartTime;
   if (m_Download) {
     if (Result.m_End == TransferEnd::Answered)
       m_Download->finish();
@@ -249,9 +250,9 @@
     Result.m_Answer.m_BodyLength = Result.m_Answer.m_Body.size();
     Result.m_Answer.m_BodyHash = runtime::bodyHash(Result.m_Answer.m_Body);
   }
-  if (m_Work.m_Upload && Result.m_End != TransferEnd::Answered)
-    m_Work.m_Upload->fail();
-  auto Report = std::move(m_Work.m_OnEnd);
+  if (m_Transfer.m_Upload && Result.m_End != TransferEnd::Answered)
+    m_Transfer.m_Upload->fail();
+  auto Report = std::move(m_Transfer.m_OnEnd);
   reset();
   if (Report)
     Report(std::move(Result));
@@ -261,11 +262,11 @@
   m_Alive.reset();
   curl_slist_free_all(m_HeaderList);
   m_HeaderList = nullptr;
-  m_Work = Transfer();
+  m_Transfer = Transfer();
   m_Answer = HttpAnswer();
   m_Download.reset();
   m_PrefixSent = 0;
-  m_Sends = 0;
+  m_SendCount = 0;
   m_Cancelled = false;
 }
 
--- a/src/adapters/http_client/exchange.h
+++ b/src/adapters/http_client/exchange.h
@@ -26,7 +26,7 @@
 
   /// Configures the handle. Call once per transfer, before adding it to the
   /// multi handle.
-  void begin(Transfer Work, long MaxIdleSeconds, TimePoint Now);
+  void begin(Transfer Outgoing, long MaxIdleSeconds, TimePoint Now);
   /// Continues after a pause in either direction.
   void resume();
   /// Reports the end and forgets the transfer.
@@ -35,14 +35,14 @@
   void markCancelled() { m_Cancelled = true; }
 
   CURL *handle() const { return m_Easy; }
-  TransferId id() const { return m_Work.m_Id; }
+  TransferId id() const { return m_Transfer.m_Id; }
 
 private:
   static std::size_t onHeader(char *Data, std::size_t Size, std::size_t Count,
                               void *Self);
   static std::size_t onBody(char *Data, std::size_t Size, std::size_t Count,
                             void *Self);
-  static std::size_t onRead(char *Target, std::size_t Size, std::size_t Count,
+  static std::size_t onRead(char *Buffer, std::size_t Size, std::size_t Count,
                             void *Self);
   static int onBeforeRequest(void *Self, char *, char *, int, int);
 
@@ -60,14 +60,14 @@
   /// Tells late pipe callbacks that this object is gone.
   std::shared_ptr<Exchange *> m_Alive;
   curl_slist *m_HeaderList = nullptr;
-  Transfer m_Work;
+  Transfer m_Transfer;
   HttpAnswer m_Answer;
   /// Carries the rest of a long answer.
   runtime::BodyPipePtr m_Download;
   std::size_t m_PrefixSent = 0;
-  TimePoint m_Begun;
+  TimePoint m_StartTime;
   /// Times that libcurl was about to send the request.
-  unsigned m_Sends = 0;
+  unsigned m_SendCount = 0;
   bool m_Cancelled = false;
 };
 
--- a/src/adapters/http_client/transfer_loop.cpp
+++ b/src/adapters/http_client/transfer_loop.cpp
@@ -73,11 +73,11 @@
       m_Thread.join();
   }
 
-  bool submit(Transfer &Exchange) {
-    Command Value(std::move(Exchange));
+  bool submit(Transfer &Outgoing) {
+    Command Value(std::move(Outgoing));
     if (!m_Stop && m_Commands.tryPush(Value))
       return true;
-    Exchange = std::move(std::get<Transfer>(Value));
+    Outgoing = std::move(std::get<Transfer>(Value));
     return false;
   }
 
@@ -86,10 +86,10 @@
 
   void run() {
     while (!m_Stop) {
-      takeCommands();
+      processCommands();
       int Running = 0;
       curl_multi_perform(m_Multi, &Running);
-      finishDone();
+      finishCompleted();
       // A finished transfer may have handed over the next one.
       if (!m_Commands.prepareToSleep())
         continue;
@@ -98,38 +98,38 @@
       m_Commands.awake();
       m_Resumes.awake();
     }
-    abandonAll();
+    abortAll();
   }
 
-  void takeCommands() {
+  void processCommands() {
     Command Value;
     while (m_Commands.tryPop(Value))
-      std::visit([this](auto &Item) { carryOut(Item); }, Value);
+      std::visit([this](auto &Item) { execute(Item); }, Value);
     ResumeTransfer Paused;
     while (m_Resumes.tryPop(Paused))
       if (m_Running.contains(Paused.m_Exchange))
         Paused.m_Exchange->resume();
   }
 
-  void carryOut(std::monostate) {}
+  void execute(std::monostate) {}
 
-  void carryOut(Transfer &Work) {
+  void execute(Transfer &Outgoing) {
     const TimePoint Now = runtime::bootNow();
-    if (Now >= Work.m_Deadline) {
-      if (Work.m_OnEnd)
-        Work.m_OnEnd({});
+    if (Now >= Outgoing.m_Deadline) {
+      if (Outgoing.m_OnEnd)
+        Outgoing.m_OnEnd({});
       return;
     }
-    std::unique_ptr<Exchange> Slot = takeIdle();
-    Slot->begin(std::move(Work), m_Options.m_MaxIdle.count(), Now);
-    if (Slot->id() != TransferId())
-      m_ById[Slot->id()] = Slot.get();
-    curl_multi_add_handle(m_Multi, Slot->handle());
-    Exchange *Key = Slot.get();
-    m_Running.emplace(Key, std::move(Slot));
+    std::unique_ptr<Exchange> Owned = acquireExchange();
+    Owned->begin(std::move(Outgoing), m_Options.m_MaxIdle.count(), Now);
+    if (Owned->id() != TransferId())
+      m_ById[Owned->id()] = Owned.get();
+    curl_multi_add_handle(m_Multi, Owned->handle());
+    Exchange *Key = Owned.get();
+    m_Running.emplace(Key, std::move(Owned));
   }
 
-  void carryOut(const CancelTransfer &Item) {
+  void execute(const CancelTransfer &Item) {
     const auto Found = m_ById.find(Item.m_Id);
     if (Found == m_ById.end())
       return;
@@ -137,7 +137,7 @@
     finish(*Found->second, CURLE_ABORTED_BY_CALLBACK);
   }
 
-  void carryOut(const SetConnections &Item) {
+  void execute(const SetConnections &Item) {
     applyMaxConnections(Item.m_Connections);
   }
 
@@ -146,7 +146,7 @@
     curl_multi_setopt(m_Multi, CURLMOPT_MAXCONNECTS, Connections);
   }
 
-  std::unique_ptr<Exchange> takeIdle() {
+  std::unique_ptr<Exchange> acquireExchange() {
     if (m_Idle.empty())
       return std::make_unique<Exchange>([this](Exchange &Paused) {
         m_Resumes.push(ResumeTransfer{&Paused});
@@ -156,7 +156,7 @@
     return Result;
   }
 
-  void finishDone() {
+  void finishCompleted() {
     int Left = 0;
     while (CURLMsg *Message = curl_multi_info_read(m_Multi, &Left)) {
       if (Message->msg != CURLMSG_DONE)
@@ -172,21 +172,22 @@
     const auto Found = m_Running.find(&Ended);
     if (Found == m_Running.end())
       return;
-    std::unique_ptr<Exchange> Slot = std::move(Found->second);
+    std::unique_ptr<Exchange> Owned = std::move(Found->second);
     m_Running.erase(Found);
-    m_ById.erase(Slot->id());
-    curl_multi_remove_handle(m_Multi, Slot->handle());
-    Slot->end(Code, runtime::bootNow());
-    m_Idle.push_back(std::move(Slot));
+    m_ById.erase(Owned->id());
+    curl_multi_remove_handle(m_Multi, Owned->handle());
+    Owned->end(Code, runtime::bootNow());
+    m_Idle.push_back(std::move(Owned));
   }
 
-  void abandonAll() {
+  void abortAll() {
     while (!m_Running.empty())
       finish(*m_Running.begin()->first, CURLE_ABORTED_BY_CALLBACK);
     Command Value;
     while (m_Commands.tryPop(Value))
-      if (auto *Work = std::get_if<Transfer>(&Value); Work && Work->m_OnEnd)
-        Work->m_OnEnd({});
+      if (auto *Outgoing = std::get_if<Transfer>(&Value);
+          Outgoing && Outgoing->m_OnEnd)
+        Outgoing->m_OnEnd({});
   }
 
   const TransferLoopOptions m_Options;
@@ -208,11 +209,11 @@
 
 TransferLoop::~TransferLoop() = default;
 
-void TransferLoop::submit(Transfer Exchange) {
-  if (m_Impl->submit(Exchange))
+void TransferLoop::submit(Transfer Outgoing) {
+  if (m_Impl->submit(Outgoing))
     return;
-  if (Exchange.m_OnEnd)
-    Exchange.m_OnEnd({});
+  if (Outgoing.m_OnEnd)
+    Outgoing.m_OnEnd({});
 }
 
 void TransferLoop::cancel(TransferId Id) {
--- a/src/adapters/http_client/transfer_loop.h
+++ b/src/adapters/http_client/transfer_loop.h
@@ -29,7 +29,7 @@
 
   /// Hands a transfer over; any thread. When the queue is full it ends as
   /// NotSent on the calling thread.
-  void submit(Transfer Exchange);
+  void submit(Transfer Outgoing);
   /// Ends a transfer early; any thread. Its end is still reported.
   void cancel(TransferId Id);
   /// Changes the cap on connections; any thread.
--- a/src/adapters/http_server/control_server.cpp
+++ b/src/adapters/http_server/control_server.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 /// Lives for one request.
-struct Pending {
+struct PendingRequest {
   ControlRequest m_Request;
   bool m_TooLarge = false;
 };
 
-MHD_Result addQuery(void *Target, MHD_ValueKind, const char *Key,
+MHD_Result addQuery(void *Output, MHD_ValueKind, const char *Key,
                     const char *Value) {
-  auto &Query = *static_cast<std::map<std::string, std::string> *>(Target);
+  auto &Query = *static_cast<std::map<std::string, std::string> *>(Output);
   Query[Key] = Value != nullptr ? Value : "";
   return MHD_YES;
 }
@@ -38,7 +38,7 @@
 
 void onCompleted(void *, MHD_Connection *, void **State,
                  MHD_RequestTerminationCode) {
-  delete static_cast<Pending *>(*State);
+  delete static_cast<PendingRequest *>(*State);
   *State = nullptr;
 }
 
@@ -90,15 +90,15 @@
                     const char *Method, std::string_view Data,
                     std::size_t *Size, void **State) {
     if (*State == nullptr) {
-      auto New = std::make_unique<Pending>();
-      New->m_Request.m_Method = Method;
-      New->m_Request.m_Path = Url;
+      auto Created = std::make_unique<PendingRequest>();
+      Created->m_Request.m_Method = Method;
+      Created->m_Request.m_Path = Url;
       MHD_get_connection_values(Connection, MHD_GET_ARGUMENT_KIND, &addQuery,
-                                &New->m_Request.m_Query);
-      *State = New.release();
+                                &Created->m_Request.m_Query);
+      *State = Created.release();
       return MHD_YES;
     }
-    auto &Current = *static_cast<Pending *>(*State);
+    auto &Current = *static_cast<PendingRequest *>(*State);
     if (!Data.empty()) {
       append(Current, Data);
       *Size = 0;
@@ -109,7 +109,7 @@
     return reply(Connection, m_Handle(Current.m_Request));
   }
 
-  void append(Pending &Current, std::string_view Data) const {
+  void append(PendingRequest &Current, std::string_view Data) const {
     if (Current.m_Request.m_Body.size() + Data.size() > m_Options.m_MaxBody)
       Current.m_TooLarge = true;
     else
--- a/src/adapters/peer_tcp/connection.cpp
+++ b/src/adapters/peer_tcp/connection.cpp
@@ -18,7 +18,7 @@
 /// Reads per event, so that one busy peer does not starve the others.
 constexpr int MaxReadsPerEvent = 8;
 /// Sent bytes that may stay at the front of the buffer before it is moved.
-constexpr std::size_t CompactBytes = 256UL * 1024;
+constexpr std::size_t CompactThresholdBytes = 256UL * 1024;
 
 std::uint32_t readPrefix(const std::uint8_t *Bytes) {
   std::uint32_t Value = 0;
@@ -27,18 +27,18 @@
   return Value;
 }
 
-void appendPrefix(std::vector<std::uint8_t> &To, std::uint32_t Value) {
+void appendPrefix(std::vector<std::uint8_t> &Out, std::uint32_t Value) {
   for (std::size_t Index = 0; Index < PrefixBytes; ++Index)
-    To.push_back(static_cast<std::uint8_t>(Value >> (8 * Index)));
+    Out.push_back(static_cast<std::uint8_t>(Value >> (8 * Index)));
 }
 
 bool wouldBlock() { return errno == EWOULDBLOCK || errno == EAGAIN; }
 
 } // namespace
 
-Connection::Connection(ConnectionOwner &Owner, ACE_Reactor &Reactor,
+Connection::Connection(ConnectionHandler &Handler, ACE_Reactor &Reactor,
                        ConnectionState State)
-    : m_Owner(Owner), m_Reactor(Reactor), m_State(State) {}
+    : m_Handler(Handler), m_Reactor(Reactor), m_State(State) {}
 
 Connection::~Connection() { m_Stream.close(); }
 
@@ -49,7 +49,7 @@
   ACE_Reactor_Mask Mask = ACE_Event_Handler::READ_MASK;
   if (m_State == ConnectionState::Connecting) {
     Mask |= ACE_Event_Handler::WRITE_MASK;
-    m_WantsOutput = true;
+    m_WriteInterest = true;
   }
   return m_Reactor.register_handler(this, Mask) == 0;
 }
@@ -74,13 +74,13 @@
   if (queuedBytes() == 0) {
     m_Out.clear();
     m_OutSent = 0;
-  } else if (m_OutSent > CompactBytes) {
+  } else if (m_OutSent > CompactThresholdBytes) {
     m_Out.erase(m_Out.begin(),
                 m_Out.begin() + static_cast<std::ptrdiff_t>(m_OutSent));
     m_OutSent = 0;
   }
   if (m_State == ConnectionState::Open)
-    wantOutput(queuedBytes() > 0);
+    setWriteInterest(queuedBytes() > 0);
 }
 
 void Connection::close() {
@@ -90,7 +90,7 @@
   m_Reactor.remove_handler(this, ACE_Event_Handler::ALL_EVENTS_MASK |
                                      ACE_Event_Handler::DONT_CALL);
   m_Stream.close();
-  m_Owner.onClosed(*this);
+  m_Handler.onClosed(*this);
 }
 
 int Connection::handle_input(ACE_HANDLE /*Handle*/) {
@@ -122,23 +122,23 @@
 
 bool Connection::readAvailable() {
   std::array<std::uint8_t, ReadChunkBytes> Chunk;
-  for (int Round = 0; Round < MaxReadsPerEvent; ++Round) {
-    const ssize_t Got = m_Stream.recv(Chunk.data(), Chunk.size());
-    if (Got < 0)
+  for (int ReadCount = 0; ReadCount < MaxReadsPerEvent; ++ReadCount) {
+    const ssize_t Received = m_Stream.recv(Chunk.data(), Chunk.size());
+    if (Received < 0)
       return wouldBlock();
-    if (Got == 0)
+    if (Received == 0)
       return false;
-    m_In.insert(m_In.end(), Chunk.begin(), Chunk.begin() + Got);
-    if (!takeFrames())
+    m_In.insert(m_In.end(), Chunk.begin(), Chunk.begin() + Received);
+    if (!processFrames())
       return false;
     if (m_State != ConnectionState::Open ||
-        static_cast<std::size_t>(Got) < Chunk.size())
+        static_cast<std::size_t>(Received) < Chunk.size())
       return true;
   }
   return true;
 }
 
-bool Connection::takeFrames() {
+bool Connection::processFrames() {
   std::size_t Position = 0;
   while (m_In.size() - Position >= PrefixBytes) {
     const std::size_t Length = readPrefix(m_In.data() + Position);
@@ -155,7 +155,7 @@
     WireMessage Message;
     if (decode(Frame, Message))
       return false;
-    m_Owner.onMessage(*this, std::move(Message));
+    m_Handler.onMessage(*this, std::move(Message));
     if (m_State != ConnectionState::Open)
       return true;
   }
@@ -164,10 +164,10 @@
   return true;
 }
 
-void Connection::wantOutput(bool Wanted) {
-  if (Wanted == m_WantsOutput)
+void Connection::setWriteInterest(bool Wanted) {
+  if (Wanted == m_WriteInterest)
     return;
-  m_WantsOutput = Wanted;
+  m_WriteInterest = Wanted;
   if (Wanted)
     m_Reactor.schedule_wakeup(this, ACE_Event_Handler::WRITE_MASK);
   else
--- a/src/adapters/peer_tcp/connection.h
+++ b/src/adapters/peer_tcp/connection.h
@@ -17,9 +17,9 @@
 
 /// What a connection tells its owner. Called on the reactor's thread; a
 /// connection may be closed, not destroyed, inside.
-class ConnectionOwner {
+class ConnectionHandler {
 public:
-  virtual ~ConnectionOwner() = default;
+  virtual ~ConnectionHandler() = default;
   virtual void onMessage(Connection &Source, WireMessage Message) = 0;
   virtual void onClosed(Connection &Closed) = 0;
 };
@@ -32,7 +32,7 @@
 /// neither the reactor nor the owner hears of the connection again.
 class Connection final : public ACE_Event_Handler {
 public:
-  Connection(ConnectionOwner &Owner, ACE_Reactor &Reactor,
+  Connection(ConnectionHandler &Handler, ACE_Reactor &Reactor,
              ConnectionState State);
   ~Connection() override;
 
@@ -53,7 +53,7 @@
   void setPeer(PeerAddress Peer) { m_Peer = std::move(Peer); }
 
   std::uint64_t lastUsed() const { return m_LastUsed; }
-  void touch(std::uint64_t Stamp) { m_LastUsed = Stamp; }
+  void markUsed(std::uint64_t UseCounter) { m_LastUsed = UseCounter; }
 
   ACE_HANDLE get_handle() const override { return m_Stream.get_handle(); }
   int handle_input(ACE_HANDLE Handle) override;
@@ -62,14 +62,14 @@
 private:
   bool finishConnect();
   bool readAvailable();
-  bool takeFrames();
-  void wantOutput(bool Wanted);
+  bool processFrames();
+  void setWriteInterest(bool Wanted);
 
-  ConnectionOwner &m_Owner;
+  ConnectionHandler &m_Handler;
   ACE_Reactor &m_Reactor;
   ACE_SOCK_Stream m_Stream;
   ConnectionState m_State;
-  bool m_WantsOutput = false;
+  bool m_WriteInterest = false;
   PeerAddress m_Peer;
   std::uint64_t m_LastUsed = 0;
   std::vector<std::uint8_t> m_In;
--- a/src/adapters/peer_tcp/decode.cpp
+++ b/src/adapters/peer_tcp/decode.cpp
@@ -282,8 +282,8 @@
 template <typename T> bool fieldsInRange(const T & /*Value*/) { return true; }
 
 /// Puts a message into the innermost variant that holds its type.
-template <typename Group, typename T> WireMessage wrap(T Value) {
-  return PeerMessage(Group(std::move(Value)));
+template <typename MessageVariant, typename T> WireMessage wrap(T Value) {
+  return PeerMessage(MessageVariant(std::move(Value)));
 }
 
 template <typename T> WireMessage wrapAny(T Value) {
@@ -368,9 +368,9 @@
                        WireMessage &Message) {
   if (Bytes.size() > MaxFrameBytes)
     return TransportError::FrameTooLarge;
-  flatbuffers::Verifier Check(Bytes.data(), Bytes.size(), MaxVerifierDepth,
-                              MaxVerifierTables);
-  if (!wire::VerifyFrameBuffer(Check))
+  flatbuffers::Verifier FrameVerifier(Bytes.data(), Bytes.size(),
+                                      MaxVerifierDepth, MaxVerifierTables);
+  if (!wire::VerifyFrameBuffer(FrameVerifier))
     return TransportError::MalformedFrame;
   const wire::Frame &Frame = *wire::GetFrame(Bytes.data());
   if (Frame.message() == nullptr)
--- a/src/adapters/peer_tcp/tcp_transport.cpp
+++ b/src/adapters/peer_tcp/tcp_transport.cpp
@@ -44,7 +44,7 @@
 } // namespace
 
 class TcpTransport::Impl final : public ACE_Event_Handler,
-                                 public ConnectionOwner {
+                                 public ConnectionHandler {
 public:
   Impl(TcpTransportOptions Options, PeerHandlers Handlers)
       : m_Options(std::move(Options)), m_Handlers(std::move(Handlers)),
@@ -67,14 +67,14 @@
     return {};
   }
 
-  void submit(Command Request) {
+  void submit(Command Posted) {
     {
       const std::lock_guard Lock(m_Mutex);
       if (m_Commands.size() >= MaxCommands)
         return;
-      m_Commands.push_back(std::move(Request));
+      m_Commands.push_back(std::move(Posted));
     }
-    if (!m_Notified.exchange(true))
+    if (!m_NotifyPending.exchange(true))
       m_Reactor.notify(this, ACE_Event_Handler::EXCEPT_MASK);
   }
 
@@ -96,26 +96,26 @@
       if (m_Acceptor.accept(Accepted->stream()) != 0)
         return 0;
       if (m_Connections.size() < m_Options.m_MaxConnections && Accepted->open())
-        adopt(std::move(Accepted));
+        addConnection(std::move(Accepted));
     }
   }
 
   int handle_exception(ACE_HANDLE /*Handle*/) override {
-    m_Notified.store(false);
+    m_NotifyPending.store(false);
     std::deque<Command> Commands;
     {
       const std::lock_guard Lock(m_Mutex);
       Commands.swap(m_Commands);
     }
-    std::vector<Connection *> Touched;
-    for (Command &Request : Commands) {
-      if (Request.m_Frame.empty())
-        resetPeer(Request.m_Peer);
+    std::vector<Connection *> ToFlush;
+    for (Command &Posted : Commands) {
+      if (Posted.m_Frame.empty())
+        resetPeer(Posted.m_Peer);
       else
-        sendFrame(Request, Touched);
+        sendFrame(Posted, ToFlush);
     }
-    for (Connection *Target : Touched)
-      Target->flush();
+    for (Connection *PeerConnection : ToFlush)
+      PeerConnection->flush();
     return 0;
   }
 
@@ -131,14 +131,14 @@
   }
 
   void onMessage(Connection &Source, WireMessage Message) override {
-    Source.touch(++m_Stamp);
-    if (const Hello *Greeting = std::get_if<Hello>(&Message)) {
-      if (Greeting->m_Version != ProtocolVersion) {
+    Source.markUsed(++m_UseCounter);
+    if (const Hello *HelloMessage = std::get_if<Hello>(&Message)) {
+      if (HelloMessage->m_Version != ProtocolVersion) {
         Source.close();
         return;
       }
-      Source.setPeer(Greeting->m_Listen);
-      m_ByPeer.try_emplace(Greeting->m_Listen, &Source);
+      Source.setPeer(HelloMessage->m_Listen);
+      m_ByPeer.try_emplace(HelloMessage->m_Listen, &Source);
       return;
     }
     if (Source.peer().value().empty()) {
@@ -156,7 +156,7 @@
       m_ByPeer.erase(ByPeer);
     const auto Found = m_Connections.find(&Closed);
     if (Found != m_Connections.end()) {
-      m_Graveyard.push_back(std::move(Found->second));
+      m_ClosedConnections.push_back(std::move(Found->second));
       m_Connections.erase(Found);
     }
     if (WasUsed && !m_Stopping.load())
@@ -168,37 +168,38 @@
     m_Reactor.owner(ACE_OS::thr_self());
     while (!m_Stopping.load()) {
       m_Reactor.handle_events();
-      m_Graveyard.clear();
+      m_ClosedConnections.clear();
     }
     m_Reactor.remove_handler(this, ACE_Event_Handler::ALL_EVENTS_MASK |
                                        ACE_Event_Handler::DONT_CALL);
     m_Reactor.cancel_timer(this);
     while (!m_Connections.empty())
       m_Connections.begin()->second->close();
-    m_Graveyard.clear();
+    m_ClosedConnections.clear();
   }
 
-  Connection &adopt(std::unique_ptr<Connection> Added) {
-    Connection &Result = *Added;
-    Result.touch(++m_Stamp);
-    m_Connections.emplace(&Result, std::move(Added));
+  Connection &addConnection(std::unique_ptr<Connection> NewConnection) {
+    Connection &Result = *NewConnection;
+    Result.markUsed(++m_UseCounter);
+    m_Connections.emplace(&Result, std::move(NewConnection));
     return Result;
   }
 
-  void sendFrame(const Command &Request, std::vector<Connection *> &Touched) {
-    Connection *Target = findOrConnect(Request.m_Peer);
-    if (Target == nullptr) {
-      m_Handlers.m_OnLost(Request.m_Peer);
+  void sendFrame(const Command &Posted, std::vector<Connection *> &ToFlush) {
+    Connection *PeerConnection = findOrConnect(Posted.m_Peer);
+    if (PeerConnection == nullptr) {
+      m_Handlers.m_OnLost(Posted.m_Peer);
       return;
     }
-    if (Target->queuedBytes() > m_Options.m_MaxQueuedBytes) {
-      Target->close();
+    if (PeerConnection->queuedBytes() > m_Options.m_MaxQueuedBytes) {
+      PeerConnection->close();
       return;
     }
-    Target->touch(++m_Stamp);
-    Target->queue(Request.m_Frame);
-    if (std::find(Touched.begin(), Touched.end(), Target) == Touched.end())
-      Touched.push_back(Target);
+    PeerConnection->markUsed(++m_UseCounter);
+    PeerConnection->queue(Posted.m_Frame);
+    if (std::find(ToFlush.begin(), ToFlush.end(), PeerConnection) ==
+        ToFlush.end())
+      ToFlush.push_back(PeerConnection);
   }
 
   Connection *findOrConnect(const PeerAddress &Peer) {
@@ -214,16 +215,16 @@
   }
 
   Connection *connect(const PeerAddress &Peer, const ACE_INET_Addr &Address) {
-    auto Added = std::make_unique<Connection>(*this, m_Reactor,
-                                              ConnectionState::Connecting);
+    auto NewConnection = std::make_unique<Connection>(
+        *this, m_Reactor, ConnectionState::Connecting);
     ACE_SOCK_Connector Connector;
-    const int Status =
-        Connector.connect(Added->stream(), Address, &ACE_Time_Value::zero);
+    const int Status = Connector.connect(NewConnection->stream(), Address,
+                                         &ACE_Time_Value::zero);
     if (Status != 0 && errno != EWOULDBLOCK && errno != EINPROGRESS)
       return nullptr;
-    if (!Added->open())
+    if (!NewConnection->open())
       return nullptr;
-    Connection &Result = adopt(std::move(Added));
+    Connection &Result = addConnection(std::move(NewConnection));
     Result.setPeer(Peer);
     Result.queue(encode(Hello{.m_Listen = advertised(m_Options)}));
     m_ByPeer[Peer] = &Result;
@@ -261,7 +262,7 @@
   // Shared between the callers of send() and the reactor.
   std::mutex m_Mutex;
   std::deque<Command> m_Commands;
-  std::atomic<bool> m_Notified{false};
+  std::atomic<bool> m_NotifyPending{false};
 
   // Only the reactor's thread touches these.
   std::unordered_map<Connection *, std::unique_ptr<Connection>> m_Connections;
@@ -269,8 +270,8 @@
   /// m_Connections.
   std::unordered_map<PeerAddress, Connection *> m_ByPeer;
   /// Closed connections, destroyed when no handler of theirs is running.
-  std::vector<std::unique_ptr<Connection>> m_Graveyard;
-  std::uint64_t m_Stamp = 0;
+  std::vector<std::unique_ptr<Connection>> m_ClosedConnections;
+  std::uint64_t m_UseCounter = 0;
 };
 
 TcpTransport::TcpTransport(TcpTransportOptions Options, PeerHandlers Handlers)
@@ -280,8 +281,8 @@
 
 std::error_code TcpTransport::start() { return m_Impl->start(); }
 
-void TcpTransport::send(const PeerAddress &To, PeerMessage Message) {
-  m_Impl->submit({.m_Peer = To, .m_Frame = encode(std::move(Message))});
+void TcpTransport::send(const PeerAddress &Receiver, PeerMessage Message) {
+  m_Impl->submit({.m_Peer = Receiver, .m_Frame = encode(std::move(Message))});
 }
 
 void TcpTransport::reset(const PeerAddress &Peer) {
--- a/src/adapters/peer_tcp/tcp_transport.h
+++ b/src/adapters/peer_tcp/tcp_transport.h
@@ -29,7 +29,7 @@
 
   /// Opens the listening socket and starts the reactor thread.
   std::error_code start();
-  void send(const PeerAddress &To, PeerMessage Message);
+  void send(const PeerAddress &Receiver, PeerMessage Message);
   /// Closes the connections with a peer; the next send opens a new one.
   void reset(const PeerAddress &Peer);
   /// Ends the reactor thread. No handler runs afterwards.
--- a/src/adapters/platform_http/platform_client.cpp
+++ b/src/adapters/platform_http/platform_client.cpp
@@ -19,25 +19,25 @@
 constexpr int StatusUnavailable = 503;
 
 /// An answer in the right shape, or what is left when there is none.
-TableReply withRows(TableStatus Status, const std::string &Body,
-                    TableStatus Otherwise) {
+TableReply decodeReply(TableStatus Status, const std::string &Body,
+                       TableStatus StatusIfMalformed) {
   std::optional<std::vector<Row>> Rows = decodeRows(Body);
   if (!Rows)
-    return {.m_Status = Otherwise, .m_Rows = {}};
+    return {.m_Status = StatusIfMalformed, .m_Rows = {}};
   return {.m_Status = Status, .m_Rows = std::move(*Rows)};
 }
 
 } // namespace
 
-TableReply judgeRead(const TransferResult &Result) {
+TableReply classifyRead(const TransferResult &Result) {
   if (Result.m_End != TransferEnd::Answered ||
       Result.m_Answer.m_Status != StatusOk)
     return {.m_Status = TableStatus::Unavailable, .m_Rows = {}};
-  return withRows(TableStatus::Ok, Result.m_Answer.m_Body,
-                  TableStatus::Unavailable);
+  return decodeReply(TableStatus::Ok, Result.m_Answer.m_Body,
+                     TableStatus::Unavailable);
 }
 
-TableReply judgeCommit(const TransferResult &Result) {
+TableReply classifyCommit(const TransferResult &Result) {
   if (Result.m_End == TransferEnd::NotSent)
     return {.m_Status = TableStatus::Unavailable, .m_Rows = {}};
   if (Result.m_End != TransferEnd::Answered)
@@ -45,10 +45,10 @@
   const HttpAnswer &Answer = Result.m_Answer;
   switch (Answer.m_Status) {
   case StatusOk:
-    return withRows(TableStatus::Ok, Answer.m_Body, TableStatus::Ambiguous);
+    return decodeReply(TableStatus::Ok, Answer.m_Body, TableStatus::Ambiguous);
   case StatusConflict:
-    return withRows(TableStatus::Conflict, Answer.m_Body,
-                    TableStatus::Ambiguous);
+    return decodeReply(TableStatus::Conflict, Answer.m_Body,
+                       TableStatus::Ambiguous);
   case StatusUnavailable:
     return {.m_Status = TableStatus::Unavailable, .m_Rows = {}};
   default:
@@ -77,41 +77,42 @@
 }
 
 void PlatformClient::read(const TableRead &Read, TableCallback Done) {
-  Transfer Work = makeTransfer("POST", "/v1/read", encodeRead(Read));
-  Work.m_OnEnd = [Done = std::move(Done)](const TransferResult &Result) {
-    Done(judgeRead(Result));
+  Transfer Outgoing = makeTransfer("POST", "/v1/read", encodeRead(Read));
+  Outgoing.m_OnEnd = [Done = std::move(Done)](const TransferResult &Result) {
+    Done(classifyRead(Result));
   };
-  m_Loop.submit(std::move(Work));
+  m_Loop.submit(std::move(Outgoing));
 }
 
 void PlatformClient::commit(const Transaction &Commit, TableCallback Done) {
-  Transfer Work = makeTransfer("POST", "/v1/commit", encodeCommit(Commit));
-  Work.m_OnEnd = [Done = std::move(Done)](const TransferResult &Result) {
-    Done(judgeCommit(Result));
+  Transfer Outgoing = makeTransfer("POST", "/v1/commit", encodeCommit(Commit));
+  Outgoing.m_OnEnd = [Done = std::move(Done)](const TransferResult &Result) {
+    Done(classifyCommit(Result));
   };
-  m_Loop.submit(std::move(Work));
+  m_Loop.submit(std::move(Outgoing));
 }
 
 void PlatformClient::getObject(const std::string &Name, ObjectCallback Done) {
-  Transfer Work = makeTransfer("GET", "/v1/objects/" + Name, {});
-  Work.m_OnEnd = [Done = std::move(Done)](TransferResult Result) {
+  Transfer Outgoing = makeTransfer("GET", "/v1/objects/" + Name, {});
+  Outgoing.m_OnEnd = [Done = std::move(Done)](TransferResult Result) {
     if (Result.m_End == TransferEnd::Answered &&
         Result.m_Answer.m_Status == StatusOk)
       Done(std::move(Result.m_Answer.m_Body));
     else
       Done(std::nullopt);
   };
-  m_Loop.submit(std::move(Work));
+  m_Loop.submit(std::move(Outgoing));
 }
 
 void PlatformClient::putObject(const std::string &Name, std::string Value,
                                StoredCallback Done) {
-  Transfer Work = makeTransfer("PUT", "/v1/objects/" + Name, std::move(Value));
-  Work.m_OnEnd = [Done = std::move(Done)](const TransferResult &Result) {
+  Transfer Outgoing =
+      makeTransfer("PUT", "/v1/objects/" + Name, std::move(Value));
+  Outgoing.m_OnEnd = [Done = std::move(Done)](const TransferResult &Result) {
     Done(Result.m_End == TransferEnd::Answered &&
          Result.m_Answer.m_Status / 100 == 2);
   };
-  m_Loop.submit(std::move(Work));
+  m_Loop.submit(std::move(Outgoing));
 }
 
 } // namespace balsamwheel::platform_http
--- a/src/adapters/platform_http/platform_client.h
+++ b/src/adapters/platform_http/platform_client.h
@@ -47,10 +47,10 @@
 };
 
 /// What became of a read, judged from its transfer.
-TableReply judgeRead(const http_client::TransferResult &Result);
+TableReply classifyRead(const http_client::TransferResult &Result);
 
 /// What became of a commit. Whatever may have reached the table without a
 /// plain answer is ambiguous.
-TableReply judgeCommit(const http_client::TransferResult &Result);
+TableReply classifyCommit(const http_client::TransferResult &Result);
 
 } // namespace balsamwheel::platform_http
--- a/src/adapters/target_http/announcement.cpp
+++ b/src/adapters/target_http/announcement.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t MaxCount = 100'000;
 
 /// 0 for anything but a positive number within bounds.
-std::uint32_t countOf(const Json &Value) {
+std::uint32_t readCount(const Json &Value) {
   const auto Count = Value.get<std::int64_t>();
   return Count > 0 && Count <= MaxCount ? static_cast<std::uint32_t>(Count) : 0;
 }
@@ -26,8 +26,8 @@
   if (Result.m_Leaving)
     return Result;
   Result.m_Address = Value.at("address").get<std::string>();
-  Result.m_Slots = countOf(Value.at("slots"));
-  Result.m_Connections = countOf(Value.at("connections"));
+  Result.m_Slots = readCount(Value.at("slots"));
+  Result.m_Connections = readCount(Value.at("connections"));
   Result.m_Cold = Value.value("cold", false);
   Result.m_ChecksFences = Value.value("checks_fences", false);
   return Result;
--- a/src/adapters/target_http/order.h
+++ b/src/adapters/target_http/order.h
@@ -15,6 +15,6 @@
                                         StartOrder Order);
 
 /// How an order ended, judged from its transfer.
-OrderEnd judgeOrder(const http_client::TransferResult &Result);
+OrderEnd classifyOrderEnd(const http_client::TransferResult &Result);
 
 } // namespace balsamwheel::target_http
--- a/src/adapters/target_http/target_link.cpp
+++ b/src/adapters/target_http/target_link.cpp
@@ -22,9 +22,9 @@
 /// Connections beside those for orders: grants, cancels, load reports.
 constexpr long ControlConnections = 2;
 /// Control calls waiting; a start may grant all shards of a service at once.
-constexpr std::size_t ControlQueue = std::size_t{1} << 16U;
+constexpr std::size_t ControlQueueSize = std::size_t{1} << 16U;
 
-std::string escapePath(const std::string &Text) {
+std::string escapePathSegment(const std::string &Text) {
   char *Escaped =
       curl_easy_escape(nullptr, Text.data(), static_cast<int>(Text.size()));
   std::string Result(Escaped);
@@ -40,7 +40,7 @@
       m_MakePipe(std::move(MakePipe)), m_Loop({.m_Name = "target"}),
       m_ControlLoop({.m_Name = "target-control",
                      .m_MaxConnections = ControlConnections,
-                     .m_QueueSize = ControlQueue}),
+                     .m_QueueSize = ControlQueueSize}),
       m_Server({.m_Listen = m_Options.m_Listen},
                [this](const ControlRequest &Request) {
                  return onControlRequest(Request);
@@ -60,7 +60,7 @@
     const std::scoped_lock Lock(m_Mutex);
     m_Stopping = true;
   }
-  m_Stopped.notify_all();
+  m_StopRequested.notify_all();
   if (m_Watcher.joinable())
     m_Watcher.join();
   m_Server.stop();
@@ -81,30 +81,31 @@
   return {200, "application/json", "{}"};
 }
 
-void TargetLink::onAnnouncement(const Announcement &News) {
+void TargetLink::onAnnouncement(const Announcement &Received) {
   bool Ready = false;
-  bool Left = false;
+  bool HasLeft = false;
   {
     const std::scoped_lock Lock(m_Mutex);
-    m_LastHeard = runtime::bootNow();
-    if (News.m_Leaving) {
-      Left = m_Current.has_value();
+    m_LastAnnouncedAt = runtime::bootNow();
+    if (Received.m_Leaving) {
+      HasLeft = m_Current.has_value();
       m_Current.reset();
     } else {
-      const bool TurnedCold = News.m_Cold && m_Current && !m_Current->m_Cold;
-      Announcement Known = m_Current.value_or(Announcement());
-      Known.m_Cold = News.m_Cold;
-      Ready = TurnedCold || Known != News;
-      m_Current = News;
+      const bool TurnedCold =
+          Received.m_Cold && m_Current && !m_Current->m_Cold;
+      Announcement Previous = m_Current.value_or(Announcement());
+      Previous.m_Cold = Received.m_Cold;
+      Ready = TurnedCold || Previous != Received;
+      m_Current = Received;
     }
   }
   if (Ready) {
     // Control requests share the cap with orders.
     m_Loop.setMaxConnections(std::max<long>(
-        1, static_cast<long>(News.m_Connections) - ControlConnections));
-    m_Handlers.m_OnReady(News);
+        1, static_cast<long>(Received.m_Connections) - ControlConnections));
+    m_Handlers.m_OnReady(Received);
   }
-  if (Left)
+  if (HasLeft)
     m_Handlers.m_OnLeaving();
 }
 
@@ -124,15 +125,15 @@
     return;
   }
   const std::string CancelUrl = "http://" + Address + "/v1/orders/" +
-                                escapePath(Order.m_Meta.m_Id.value());
-  Transfer Work = makeOrderTransfer(Address, std::move(Order));
-  Work.m_Upload = std::move(Upload);
-  Work.m_MakePipe = m_MakePipe;
-  Work.m_OnAnswering = [this, Id](HttpAnswer Head) {
+                                escapePathSegment(Order.m_Meta.m_Id.value());
+  Transfer Outgoing = makeOrderTransfer(Address, std::move(Order));
+  Outgoing.m_Upload = std::move(Upload);
+  Outgoing.m_MakePipe = m_MakePipe;
+  Outgoing.m_OnAnswering = [this, Id](HttpAnswer Head) {
     m_Handlers.m_OnAnswering(Id, std::move(Head));
   };
-  Work.m_OnEnd = [this, Id, CancelUrl](TransferResult Result) {
-    const OrderEnd End = judgeOrder(Result);
+  Outgoing.m_OnEnd = [this, Id, CancelUrl](TransferResult Result) {
+    const OrderEnd End = classifyOrderEnd(Result);
     if (End == OrderEnd::Aborted)
       sendControl("DELETE", CancelUrl, {});
     m_Handlers.m_OnEnd({.m_Order = Id,
@@ -140,7 +141,7 @@
                         .m_Http = std::move(Result.m_Answer),
                         .m_Latency = Result.m_Latency});
   };
-  m_Loop.submit(std::move(Work));
+  m_Loop.submit(std::move(Outgoing));
 }
 
 void TargetLink::cancelOrder(OrderId Order) {
@@ -160,26 +161,26 @@
 
 void TargetLink::sendControl(std::string Method, std::string Url,
                              std::string Body) {
-  Transfer Work;
-  Work.m_Method = std::move(Method);
-  Work.m_Url = std::move(Url);
-  Work.m_Headers = {"Content-Type: application/json"};
-  Work.m_Body = std::move(Body);
-  Work.m_BodyLength = Work.m_Body.size();
-  Work.m_Deadline = runtime::bootNow() + m_Options.m_ControlTimeout;
-  Work.m_MaxSendDelay = m_Options.m_ControlTimeout;
-  m_ControlLoop.submit(std::move(Work));
+  Transfer Outgoing;
+  Outgoing.m_Method = std::move(Method);
+  Outgoing.m_Url = std::move(Url);
+  Outgoing.m_Headers = {"Content-Type: application/json"};
+  Outgoing.m_Body = std::move(Body);
+  Outgoing.m_BodyLength = Outgoing.m_Body.size();
+  Outgoing.m_Deadline = runtime::bootNow() + m_Options.m_ControlTimeout;
+  Outgoing.m_MaxSendDelay = m_Options.m_ControlTimeout;
+  m_ControlLoop.submit(std::move(Outgoing));
 }
 
 void TargetLink::readLoad() {
   const std::string Address = address();
   if (Address.empty())
     return;
-  Transfer Work;
-  Work.m_Url = "http://" + Address + "/v1/load";
-  Work.m_Deadline = runtime::bootNow() + m_Options.m_ControlTimeout;
-  Work.m_MaxSendDelay = m_Options.m_ControlTimeout;
-  Work.m_OnEnd = [this](const TransferResult &Result) {
+  Transfer Outgoing;
+  Outgoing.m_Url = "http://" + Address + "/v1/load";
+  Outgoing.m_Deadline = runtime::bootNow() + m_Options.m_ControlTimeout;
+  Outgoing.m_MaxSendDelay = m_Options.m_ControlTimeout;
+  Outgoing.m_OnEnd = [this](const TransferResult &Result) {
     if (Result.m_End != TransferEnd::Answered || !m_Handlers.m_OnLoad)
       return;
     const auto Document = nlohmann::json::parse(Result.m_Answer.m_Body, nullptr,
@@ -192,13 +193,13 @@
         {.m_Load = Document["load"].get<double>(),
          .m_Healthy = Healthy == Document.end() || *Healthy != false});
   };
-  m_ControlLoop.submit(std::move(Work));
+  m_ControlLoop.submit(std::move(Outgoing));
 }
 
 void TargetLink::watch() {
   std::unique_lock Lock(m_Mutex);
-  while (!m_Stopped.wait_for(Lock, m_Options.m_LoadPeriod,
-                             [this] { return m_Stopping; })) {
+  while (!m_StopRequested.wait_for(Lock, m_Options.m_LoadPeriod,
+                                   [this] { return m_Stopping; })) {
     Lock.unlock();
     checkSilence();
     readLoad();
@@ -210,7 +211,7 @@
   {
     const std::scoped_lock Lock(m_Mutex);
     if (!m_Current ||
-        runtime::bootNow() - m_LastHeard < m_Options.m_SilenceLimit)
+        runtime::bootNow() - m_LastAnnouncedAt < m_Options.m_SilenceLimit)
       return;
     m_Current.reset();
   }
--- a/src/adapters/target_http/target_link.h
+++ b/src/adapters/target_http/target_link.h
@@ -68,7 +68,7 @@
 private:
   http_server::ControlResponse
   onControlRequest(const http_server::ControlRequest &Request);
-  void onAnnouncement(const Announcement &News);
+  void onAnnouncement(const Announcement &Received);
   void onOrderEnd(OrderId Order, const std::string &Url,
                   const http_client::TransferResult &Result);
   void sendControl(std::string Method, std::string Url, std::string Body);
@@ -82,11 +82,11 @@
   const TargetHandlers m_Handlers;
   const http_client::PipeFactory m_MakePipe;
   mutable std::mutex m_Mutex;
-  std::condition_variable m_Stopped;
+  std::condition_variable m_StopRequested;
   bool m_Stopping = false;
   /// None while no target is known.
   std::optional<Announcement> m_Current;
-  TimePoint m_LastHeard;
+  TimePoint m_LastAnnouncedAt;
   /// Carries orders.
   http_client::TransferLoop m_Loop;
   /// Carries grants, cancels and load reports, so that the many grants of a
--- a/tests/fuzz/request_parser.cpp
+++ b/tests/fuzz/request_parser.cpp
@@ -36,22 +36,23 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *Data,
                                       std::size_t Size) {
-  static const Config Known = makeConfig();
+  static const Config ActiveConfig = makeConfig();
   std::string_view Rest(reinterpret_cast<const char *>(Data), Size);
   RequestHead Head;
   Head.m_Method = takeLine(Rest);
-  Head.m_Target = takeLine(Rest);
+  Head.m_RequestTarget = takeLine(Rest);
   while (!Rest.empty()) {
     std::string Name = takeLine(Rest);
     Head.m_Headers.emplace_back(std::move(Name), takeLine(Rest));
   }
-  const auto Result = parseRequest(Head, &Known, RequestId("fresh"));
+  const auto Result = parseRequest(Head, &ActiveConfig, RequestId("fresh"));
   if (const auto *Parsed = std::get_if<ParsedRequest>(&Result)) {
-    const bool Whole = !Parsed->m_Meta.m_Key.empty() &&
-                       Parsed->m_Meta.m_Key.size() <= MaxKeyLength &&
-                       Parsed->m_TimeLeft > Duration(0) &&
-                       Parsed->m_Meta.m_Id.value().size() <= MaxRequestIdLength;
-    if (!Whole)
+    const bool InBounds =
+        !Parsed->m_Meta.m_Key.empty() &&
+        Parsed->m_Meta.m_Key.size() <= MaxKeyLength &&
+        Parsed->m_TimeLeft > Duration(0) &&
+        Parsed->m_Meta.m_Id.value().size() <= MaxRequestIdLength;
+    if (!InBounds)
       std::abort();
   } else if (std::get<Refusal>(Result).m_Status < 400) {
     std::abort();
--- a/tests/unit-caller-server.cpp
+++ b/tests/unit-caller-server.cpp
@@ -39,25 +39,25 @@
     REQUIRE_FALSE(m_Server.start());
   }
 
-  TransferResult call(Transfer Work) {
-    Work.m_Url = "http://127.0.0.1:" + std::to_string(m_Server.port()) +
-                 (Work.m_Url.empty() ? "/documents/1" : Work.m_Url);
-    Work.m_Deadline = runtime::bootNow() + std::chrono::seconds(10);
+  TransferResult call(Transfer Outgoing) {
+    Outgoing.m_Url = "http://127.0.0.1:" + std::to_string(m_Server.port()) +
+                     (Outgoing.m_Url.empty() ? "/documents/1" : Outgoing.m_Url);
+    Outgoing.m_Deadline = runtime::bootNow() + std::chrono::seconds(10);
     auto Promise = std::make_shared<std::promise<TransferResult>>();
     auto Future = Promise->get_future();
-    Work.m_OnEnd = [Promise](TransferResult Result) {
+    Outgoing.m_OnEnd = [Promise](TransferResult Result) {
       Promise->set_value(std::move(Result));
     };
-    m_Loop.submit(std::move(Work));
+    m_Loop.submit(std::move(Outgoing));
     REQUIRE(Future.wait_for(std::chrono::seconds(20)) ==
             std::future_status::ready);
     return Future.get();
   }
 
   TransferResult get(const std::string &Path) {
-    Transfer Work;
-    Work.m_Url = Path;
-    return call(std::move(Work));
+    Transfer Outgoing;
+    Outgoing.m_Url = Path;
+    return call(std::move(Outgoing));
   }
 
   runtime::BodyPipePtr makePipe(std::string_view Prefix,
@@ -75,13 +75,13 @@
         .m_Config = [] { return std::make_shared<const Config>(makeConfig()); },
         .m_OnRequest =
             [this](IncomingRequest &Request) {
-              ++m_Requests;
+              ++m_RequestCount;
               if (!m_Handle)
                 return false;
               m_Handle(m_Server, std::move(Request));
               return true;
             },
-        .m_OnGone = [this](RequestHandle) { ++m_Gone; },
+        .m_OnGone = [this](RequestHandle) { ++m_Disconnects; },
         .m_MakePipe =
             [this](std::string_view Prefix,
                    std::optional<std::uint64_t> Length) {
@@ -91,8 +91,8 @@
   }
 
   Handler m_Handle;
-  std::atomic<int> m_Requests{0};
-  std::atomic<int> m_Gone{0};
+  std::atomic<int> m_RequestCount{0};
+  std::atomic<int> m_Disconnects{0};
   runtime::BodyPipePtr m_Pipe;
   CallerServer m_Server;
   TransferLoop m_Loop;
@@ -118,16 +118,17 @@
 }
 
 /// Writes a body of \p Size bytes into a pipe from a thread of its own.
-std::thread writeBody(runtime::BodyPipePtr Pipe, std::size_t Size, bool Cut) {
-  return std::thread([Pipe, Size, Cut] {
+std::thread writeBody(runtime::BodyPipePtr Pipe, std::size_t Size,
+                      bool Truncated) {
+  return std::thread([Pipe, Size, Truncated] {
     const std::string Part(50'000, 'p');
-    for (std::size_t At = 0; At < Size;) {
-      if (Pipe->tryWrite(std::string_view(Part).substr(0, Size - At)))
-        At += std::min(Part.size(), Size - At);
+    for (std::size_t Offset = 0; Offset < Size;) {
+      if (Pipe->tryWrite(std::string_view(Part).substr(0, Size - Offset)))
+        Offset += std::min(Part.size(), Size - Offset);
       else
         std::this_thread::yield();
     }
-    if (Cut)
+    if (Truncated)
       Pipe->fail();
     else
       Pipe->finish();
@@ -143,12 +144,12 @@
     CHECK(Request.m_Http.m_Body == "body");
     Server.answer(makeAnswer(Request.m_Handle, "hello"), nullptr);
   });
-  Transfer Work;
-  Work.m_Method = "POST";
-  Work.m_Url = "/documents/a%20b?x=1";
-  Work.m_Body = "body";
-  Work.m_Headers = {"Balsamwheel-Request-Id: mine"};
-  const TransferResult Result = Setup.call(std::move(Work));
+  Transfer Outgoing;
+  Outgoing.m_Method = "POST";
+  Outgoing.m_Url = "/documents/a%20b?x=1";
+  Outgoing.m_Body = "body";
+  Outgoing.m_Headers = {"Balsamwheel-Request-Id: mine"};
+  const TransferResult Result = Setup.call(std::move(Outgoing));
   CHECK(Result.m_Answer.m_Status == 201);
   CHECK(Result.m_Answer.m_Body == "hello");
   CHECK(headerOf(Result, "X-Test") == "1");
@@ -159,15 +160,16 @@
 }
 
 TEST_CASE("an answer from another thread wakes the connection") {
-  std::thread Answerer;
-  Fixture Setup([&Answerer](CallerServer &Server, IncomingRequest Request) {
-    Answerer = std::thread([&Server, Handle = Request.m_Handle] {
-      std::this_thread::sleep_for(std::chrono::milliseconds(30));
-      Server.answer(makeAnswer(Handle, "late"), nullptr);
-    });
-  });
+  std::thread AnsweringThread;
+  Fixture Setup(
+      [&AnsweringThread](CallerServer &Server, IncomingRequest Request) {
+        AnsweringThread = std::thread([&Server, Handle = Request.m_Handle] {
+          std::this_thread::sleep_for(std::chrono::milliseconds(30));
+          Server.answer(makeAnswer(Handle, "late"), nullptr);
+        });
+      });
   CHECK(Setup.get("/documents/1").m_Answer.m_Body == "late");
-  Answerer.join();
+  AnsweringThread.join();
 }
 
 TEST_CASE("other outcomes come as JSON with the time to wait") {
@@ -207,7 +209,7 @@
   Headers.m_Headers = {"X-Long: " + std::string(100'000, 'h')};
   const auto Status = Setup.call(std::move(Headers)).m_Answer.m_Status;
   CHECK((Status == 413 || Status == 414 || Status == 431));
-  CHECK(Setup.m_Requests == 0);
+  CHECK(Setup.m_RequestCount == 0);
   CHECK(Setup.get("/documents/1").m_Answer.m_Status == 201);
 }
 
@@ -220,7 +222,7 @@
 
 TEST_CASE("a long answer streams whole, a cut one is no answer") {
   constexpr std::size_t Size = 2'000'000;
-  for (const bool Cut : {false, true}) {
+  for (const bool Truncated : {false, true}) {
     std::thread Writer;
     Fixture Setup({});
     Setup.m_Handle = [&](CallerServer &Server, IncomingRequest Request) {
@@ -228,12 +230,12 @@
       Answer.m_Http.m_BodyLength = Size + 2;
       Answer.m_Http.m_BodyStream = 77;
       auto Pipe = Setup.makePipe("ab", Size + 2);
-      Writer = writeBody(Pipe, Cut ? Size / 2 : Size, Cut);
+      Writer = writeBody(Pipe, Truncated ? Size / 2 : Size, Truncated);
       Server.answer(std::move(Answer), Pipe);
     };
     const TransferResult Result = Setup.get("/documents/1");
     Writer.join();
-    if (Cut) {
+    if (Truncated) {
       CHECK(Result.m_End == TransferEnd::Broken);
       continue;
     }
@@ -270,10 +272,10 @@
           Server.answer(makeAnswer(Handle, "stored"), nullptr);
         });
   };
-  Transfer Work;
-  Work.m_Method = "PUT";
-  Work.m_Body = std::string(3'000'000, 'u');
-  const TransferResult Result = Setup.call(std::move(Work));
+  Transfer Outgoing;
+  Outgoing.m_Method = "PUT";
+  Outgoing.m_Body = std::string(3'000'000, 'u');
+  const TransferResult Result = Setup.call(std::move(Outgoing));
   Reader.join();
   CHECK(Result.m_Answer.m_Body == "stored");
   CHECK(Received.get_future().get() == std::string(3'000'000, 'u'));
@@ -287,12 +289,12 @@
     Answer.m_Reason = Reason::Overloaded;
     Server.answer(std::move(Answer), nullptr);
   });
-  Transfer Work;
-  Work.m_Method = "PUT";
-  Work.m_Body = std::string(3'000'000, 'u');
-  const TransferResult Result = Setup.call(std::move(Work));
+  Transfer Outgoing;
+  Outgoing.m_Method = "PUT";
+  Outgoing.m_Body = std::string(3'000'000, 'u');
+  const TransferResult Result = Setup.call(std::move(Outgoing));
   CHECK(Result.m_Answer.m_Status == 503);
-  CHECK(Setup.m_Requests == 1);
+  CHECK(Setup.m_RequestCount == 1);
 }
 
 TEST_CASE("stopping aborts requests that wait") {
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -170,42 +170,49 @@
 template <> BodyCancel anyMessage() { return {any<std::uint64_t>()}; }
 
 /// Encodes and decodes one message and compares every field.
-template <typename Group, typename Message> bool survives() {
+template <typename MessageVariant, typename Message>
+bool roundTripKeepsFields() {
   const auto Sent = anyMessage<Message>();
   WireMessage Decoded;
-  if (decode(encode(PeerMessage(Group(Sent))), Decoded))
+  if (decode(encode(PeerMessage(MessageVariant(Sent))), Decoded))
     return false;
-  const auto &Received = std::get<Group>(std::get<PeerMessage>(Decoded));
+  const auto &Received =
+      std::get<MessageVariant>(std::get<PeerMessage>(Decoded));
   return std::get<Message>(Received) == Sent;
 }
 
-template <typename Group, typename Message> void checkMessage() {
+template <typename MessageVariant, typename Message> void checkMessage() {
   CHECK(rc::check([] {
-    const bool Same = survives<Group, Message>();
+    const bool Same = roundTripKeepsFields<MessageVariant, Message>();
     RC_ASSERT(Same);
   }));
 }
 
-template <typename Group, std::size_t... Index>
-void checkGroup(std::index_sequence<Index...> /*Members*/) {
-  (checkMessage<Group, std::variant_alternative_t<Index, Group>>(), ...);
+template <typename MessageVariant, std::size_t... Index>
+void checkMessages(std::index_sequence<Index...> /*Members*/) {
+  (checkMessage<MessageVariant,
+                std::variant_alternative_t<Index, MessageVariant>>(),
+   ...);
 }
 
-template <typename Group> void checkGroup() {
-  checkGroup<Group>(std::make_index_sequence<std::variant_size_v<Group>>());
+template <typename MessageVariant> void checkMessages() {
+  checkMessages<MessageVariant>(
+      std::make_index_sequence<std::variant_size_v<MessageVariant>>());
 }
 
 } // namespace
 
 TEST_CASE("every control message keeps every field") {
-  checkGroup<ControlMessage>();
+  checkMessages<ControlMessage>();
 }
 
 TEST_CASE("every request message keeps every field") {
-  checkGroup<RequestMessage>();
+  checkMessages<RequestMessage>();
 }
 
-TEST_CASE("every body message keeps every field") { checkGroup<BodyMessage>(); }
+TEST_CASE("every body message keeps every field") {
+  checkMessages<BodyMessage>();
+}
 
 TEST_CASE("a damaged frame is refused or decodes to some message") {
   CHECK(rc::check("one byte changed", [] {
--- a/tests/unit-peer-transport.cpp
+++ b/tests/unit-peer-transport.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds Patience{10};
+constexpr std::chrono::seconds TestTimeout{10};
 
 /// Finds a port that is free at this moment.
 PeerAddress freeAddress() {
@@ -48,13 +48,14 @@
 
   bool waitForMessages(std::size_t Count) {
     std::unique_lock Lock(m_Mutex);
-    return m_Changed.wait_for(Lock, Patience,
+    return m_Changed.wait_for(Lock, TestTimeout,
                               [&] { return m_Messages.size() >= Count; });
   }
 
   bool waitForLost() {
     std::unique_lock Lock(m_Mutex);
-    return m_Changed.wait_for(Lock, Patience, [&] { return !m_Lost.empty(); });
+    return m_Changed.wait_for(Lock, TestTimeout,
+                              [&] { return !m_Lost.empty(); });
   }
 
   std::vector<std::pair<PeerAddress, PeerMessage>> m_Messages;
--- a/tests/unit-platform-client.cpp
+++ b/tests/unit-platform-client.cpp
@@ -75,12 +75,12 @@
 }
 
 TEST_CASE("a refused connection leaves the table untouched") {
-  std::string Gone;
+  std::string ClosedAddress;
   {
     RawServer Server([](const std::string &, int) { return RawReply{}; });
-    Gone = Server.address();
+    ClosedAddress = Server.address();
   }
-  CHECK(commit(Gone).m_Status == TableStatus::Unavailable);
+  CHECK(commit(ClosedAddress).m_Status == TableStatus::Unavailable);
 }
 
 TEST_CASE("a read names keys and prefixes and returns rows") {
--- a/tests/unit-request-parser.cpp
+++ b/tests/unit-request-parser.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-const RequestId Fresh{"fresh"};
+const RequestId GeneratedId{"fresh"};
 
 Config makeConfig() {
   RequestClass Read;
   Read.m_Name = ClassName("read");
   Read.m_Match = {"GET /orders"};
-  RequestClass Place;
-  Place.m_Name = ClassName("place");
-  Place.m_Urgency = Urgency::Urgent;
-  Place.m_Idempotent = false;
-  Place.m_Deadline = std::chrono::milliseconds(700);
-  Place.m_Match = {"POST /orders", "GET /orders/now"};
+  RequestClass PlaceOrder;
+  PlaceOrder.m_Name = ClassName("place");
+  PlaceOrder.m_Urgency = Urgency::Urgent;
+  PlaceOrder.m_Idempotent = false;
+  PlaceOrder.m_Deadline = std::chrono::milliseconds(700);
+  PlaceOrder.m_Match = {"POST /orders", "GET /orders/now"};
   Service Orders;
   Orders.m_Name = ServiceName("orders");
   Orders.m_DividedByKey = true;
   Orders.m_Shards = 8;
   Orders.m_MaxBodyBytes = 1000;
-  Orders.m_Classes = {Read, Place};
+  Orders.m_Classes = {Read, PlaceOrder};
   Service Documents;
   Documents.m_Name = ServiceName("documents");
   Documents.m_Classes = {Read};
@@ -38,21 +38,21 @@
 RequestHead makeHead(const std::string &Method, const std::string &Target) {
   RequestHead Head;
   Head.m_Method = Method;
-  Head.m_Target = Target;
+  Head.m_RequestTarget = Target;
   Head.m_QueryKey = "k1";
   return Head;
 }
 
 ParsedRequest accept(const RequestHead &Head) {
-  const Config Known = makeConfig();
-  auto Result = parseRequest(Head, &Known, Fresh);
+  const Config ActiveConfig = makeConfig();
+  auto Result = parseRequest(Head, &ActiveConfig, GeneratedId);
   REQUIRE(std::holds_alternative<ParsedRequest>(Result));
   return std::get<ParsedRequest>(Result);
 }
 
 Refusal refuse(const RequestHead &Head) {
-  const Config Known = makeConfig();
-  auto Result = parseRequest(Head, &Known, Fresh);
+  const Config ActiveConfig = makeConfig();
+  auto Result = parseRequest(Head, &ActiveConfig, GeneratedId);
   REQUIRE(std::holds_alternative<Refusal>(Result));
   return std::get<Refusal>(Result);
 }
@@ -65,7 +65,7 @@
   CHECK(Request.m_Meta.m_Key == "k1");
   CHECK(Request.m_Meta.m_Class == ClassName("place"));
   CHECK_FALSE(Request.m_Meta.m_Idempotent);
-  CHECK(Request.m_Meta.m_Id == Fresh);
+  CHECK(Request.m_Meta.m_Id == GeneratedId);
   CHECK(Request.m_Urgency == Urgency::Urgent);
   CHECK(Request.m_TimeLeft == std::chrono::milliseconds(700));
 }
@@ -140,38 +140,38 @@
   for (const auto &Header : Bad) {
     RequestHead Head = makeHead("POST", "/orders/1");
     Head.m_Headers = {Header};
-    const Refusal Why = refuse(Head);
-    CHECK(Why.m_Status == 400);
-    CHECK((Why.m_Outcome == Outcome::NotRun));
-    CHECK_FALSE(Why.m_Detail.empty());
+    const Refusal Cause = refuse(Head);
+    CHECK(Cause.m_Status == 400);
+    CHECK((Cause.m_Outcome == Outcome::NotRun));
+    CHECK_FALSE(Cause.m_Detail.empty());
   }
 }
 
 TEST_CASE("without a configuration callers are told to wait") {
   const auto Result =
-      parseRequest(makeHead("GET", "/orders/1"), nullptr, Fresh);
+      parseRequest(makeHead("GET", "/orders/1"), nullptr, GeneratedId);
   REQUIRE(std::holds_alternative<Refusal>(Result));
   CHECK((std::get<Refusal>(Result).m_Outcome == Outcome::Wait));
   CHECK(std::get<Refusal>(Result).m_Status == 503);
 }
 
 TEST_CASE("any headers give a request within bounds or a refusal") {
-  const Config Known = makeConfig();
-  CHECK(rc::check([&Known](const std::string &Target, const std::string &Id,
-                           const std::string &Deadline,
-                           const std::string &Attempt) {
-    RequestHead Head = makeHead("GET", Target);
-    Head.m_Headers = {{"Balsamwheel-Service", "orders"},
-                      {"Balsamwheel-Request-Id", Id},
-                      {"Balsamwheel-Deadline-Ms", Deadline},
-                      {"Balsamwheel-Attempt", Attempt}};
-    const auto Result = parseRequest(Head, &Known, Fresh);
-    if (const auto *Request = std::get_if<ParsedRequest>(&Result)) {
-      RC_ASSERT(Request->m_Meta.m_Id.value().size() <= MaxRequestIdLength);
-      RC_ASSERT(Request->m_TimeLeft > Duration::zero());
-      RC_ASSERT(Request->m_Meta.m_Attempt >= 1U);
-    } else {
-      RC_ASSERT(std::get<Refusal>(Result).m_Status >= 400);
-    }
-  }));
+  const Config ActiveConfig = makeConfig();
+  CHECK(rc::check(
+      [&ActiveConfig](const std::string &Target, const std::string &Id,
+                      const std::string &Deadline, const std::string &Attempt) {
+        RequestHead Head = makeHead("GET", Target);
+        Head.m_Headers = {{"Balsamwheel-Service", "orders"},
+                          {"Balsamwheel-Request-Id", Id},
+                          {"Balsamwheel-Deadline-Ms", Deadline},
+                          {"Balsamwheel-Attempt", Attempt}};
+        const auto Result = parseRequest(Head, &ActiveConfig, GeneratedId);
+        if (const auto *Request = std::get_if<ParsedRequest>(&Result)) {
+          RC_ASSERT(Request->m_Meta.m_Id.value().size() <= MaxRequestIdLength);
+          RC_ASSERT(Request->m_TimeLeft > Duration::zero());
+          RC_ASSERT(Request->m_Meta.m_Attempt >= 1U);
+        } else {
+          RC_ASSERT(std::get<Refusal>(Result).m_Status >= 400);
+        }
+      }));
 }
--- a/tests/unit-target-link.cpp
+++ b/tests/unit-target-link.cpp
@@ -47,17 +47,17 @@
   /// Posts an announcement and returns the status.
   int announce(const std::string &Body) {
     http_client::TransferLoop Loop({});
-    http_client::Transfer Work;
-    Work.m_Method = "POST";
-    Work.m_Url =
+    http_client::Transfer Outgoing;
+    Outgoing.m_Method = "POST";
+    Outgoing.m_Url =
         "http://127.0.0.1:" + std::to_string(m_Link.port()) + "/v1/announce";
-    Work.m_Body = Body;
-    Work.m_Deadline = runtime::bootNow() + std::chrono::seconds(5);
+    Outgoing.m_Body = Body;
+    Outgoing.m_Deadline = runtime::bootNow() + std::chrono::seconds(5);
     std::promise<int> Status;
-    Work.m_OnEnd = [&Status](const http_client::TransferResult &Result) {
+    Outgoing.m_OnEnd = [&Status](const http_client::TransferResult &Result) {
       Status.set_value(Result.m_Answer.m_Status);
     };
-    Loop.submit(std::move(Work));
+    Loop.submit(std::move(Outgoing));
     return Status.get_future().get();
   }
 
@@ -71,8 +71,8 @@
 
   TargetHandlers handlers() {
     return {
-        .m_OnReady = [this](const Announcement &) { ++m_Ready; },
-        .m_OnLeaving = [this] { ++m_Left; },
+        .m_OnReady = [this](const Announcement &) { ++m_ReadyCount; },
+        .m_OnLeaving = [this] { ++m_LeftCount; },
         .m_OnAnswering = [](OrderId, const HttpAnswer &) {},
         .m_OnEnd =
             [this](OrderReport Report) { m_End.set_value(std::move(Report)); },
@@ -80,18 +80,18 @@
   }
 
   RawServer m_Server;
-  std::atomic<int> m_Ready{0};
-  std::atomic<int> m_Left{0};
+  std::atomic<int> m_ReadyCount{0};
+  std::atomic<int> m_LeftCount{0};
   std::promise<OrderReport> m_End;
   TargetLink m_Link;
 };
 
-RawServer::Script always(RawReply Reply) {
+RawServer::Script alwaysReply(RawReply Reply) {
   return [Reply](const std::string &, int) { return Reply; };
 }
 
-OrderEnd endWith(RawReply Reply) {
-  Fixture Setup(always(std::move(Reply)));
+OrderEnd orderEndAfter(RawReply Reply) {
+  Fixture Setup(alwaysReply(std::move(Reply)));
   StartOrder Order = makeOrder();
   Order.m_Deadline = runtime::bootNow() + std::chrono::milliseconds(300);
   return Setup.perform(std::move(Order)).m_End;
@@ -100,7 +100,7 @@
 } // namespace
 
 TEST_CASE("an order carries the caller's headers and the fence") {
-  Fixture Setup(always({httpAnswer("200 OK", "done")}));
+  Fixture Setup(alwaysReply({httpAnswer("200 OK", "done")}));
   const OrderReport Report = Setup.perform(makeOrder());
   CHECK(Report.m_Order == OrderId(9));
   CHECK(Report.m_End == OrderEnd::Answered);
@@ -117,21 +117,23 @@
 }
 
 TEST_CASE("a refusal is believed only with its header") {
-  CHECK(
-      endWith({httpAnswer("503 Busy", "", "Balsamwheel-Not-Run: true\r\n")}) ==
-      OrderEnd::Shed);
-  CHECK(endWith({httpAnswer("409 Old", "", "balsamwheel-not-run: true\r\n")}) ==
+  CHECK(orderEndAfter(
+            {httpAnswer("503 Busy", "", "Balsamwheel-Not-Run: true\r\n")}) ==
         OrderEnd::Shed);
-  CHECK(endWith({httpAnswer("503 Busy", "")}) == OrderEnd::Answered);
-  CHECK(endWith({httpAnswer("200 OK", "", "Balsamwheel-Not-Run: true\r\n")}) ==
+  CHECK(orderEndAfter(
+            {httpAnswer("409 Old", "", "balsamwheel-not-run: true\r\n")}) ==
+        OrderEnd::Shed);
+  CHECK(orderEndAfter({httpAnswer("503 Busy", "")}) == OrderEnd::Answered);
+  CHECK(orderEndAfter(
+            {httpAnswer("200 OK", "", "Balsamwheel-Not-Run: true\r\n")}) ==
         OrderEnd::Answered);
 }
 
 TEST_CASE("an order without a whole answer failed or was aborted") {
-  CHECK(endWith({.m_Bytes = {}, .m_Close = true}) == OrderEnd::Failed);
-  CHECK(endWith({"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true}) ==
-        OrderEnd::Failed);
-  CHECK(endWith({.m_Bytes = {}, .m_Silent = true}) == OrderEnd::Aborted);
+  CHECK(orderEndAfter({.m_Bytes = {}, .m_Close = true}) == OrderEnd::Failed);
+  CHECK(orderEndAfter({"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+                       true}) == OrderEnd::Failed);
+  CHECK(orderEndAfter({.m_Bytes = {}, .m_Silent = true}) == OrderEnd::Aborted);
 }
 
 TEST_CASE("an aborted order is cancelled at the target") {
@@ -155,16 +157,16 @@
 }
 
 TEST_CASE("without a target nothing is sent") {
-  Fixture Setup(always({httpAnswer("200 OK", "")}));
+  Fixture Setup(alwaysReply({httpAnswer("200 OK", "")}));
   CHECK(Setup.announce(R"({"service":"orders","leaving":true})") == 200);
-  CHECK(Setup.m_Left == 1);
+  CHECK(Setup.m_LeftCount == 1);
   CHECK(Setup.perform(makeOrder()).m_End == OrderEnd::NotSent);
   CHECK(Setup.m_Server.requests().empty());
 }
 
 TEST_CASE("a target is ready once, and anew when it changes or turns cold") {
-  Fixture Setup(always({httpAnswer("200 OK", "")}));
-  CHECK(Setup.m_Ready == 1);
+  Fixture Setup(alwaysReply({httpAnswer("200 OK", "")}));
+  CHECK(Setup.m_ReadyCount == 1);
   const std::string Warm = R"({"service":"orders","address":")" +
                            Setup.m_Server.address() +
                            R"(","slots":10,"connections":130,"cold":false})";
@@ -172,21 +174,21 @@
                            Setup.m_Server.address() +
                            R"(","slots":10,"connections":130,"cold":true})";
   Setup.announce(Warm);
-  CHECK(Setup.m_Ready == 1);
+  CHECK(Setup.m_ReadyCount == 1);
   Setup.announce(Cold);
-  CHECK(Setup.m_Ready == 2);
+  CHECK(Setup.m_ReadyCount == 2);
   Setup.announce(Cold);
   Setup.announce(Warm);
-  CHECK(Setup.m_Ready == 2);
+  CHECK(Setup.m_ReadyCount == 2);
 }
 
 TEST_CASE("a bad announcement is refused with a reason") {
-  Fixture Setup(always({httpAnswer("200 OK", "")}));
+  Fixture Setup(alwaysReply({httpAnswer("200 OK", "")}));
   for (const char *Body :
        {"", "[]", "{}", R"({"service":"","leaving":true})",
         R"({"service":"s","address":"host:1","slots":1,"connections":1})",
         R"({"service":"s","address":"1.2.3.4:5","slots":0,"connections":1})",
         R"({"service":"s","address":"1.2.3.4:5","slots":-1,"connections":1})"})
     CHECK_MESSAGE(Setup.announce(Body) == 400, Body);
-  CHECK(Setup.m_Ready == 1);
+  CHECK(Setup.m_ReadyCount == 1);
 }
--- a/tests/unit-transfer-loop.cpp
+++ b/tests/unit-transfer-loop.cpp
@@ -13,29 +13,29 @@
 
 namespace {
 
-constexpr auto Patience = std::chrono::seconds(10);
+constexpr auto TestTimeout = std::chrono::seconds(10);
 
 /// Hands a transfer over and waits for its end.
-TransferResult perform(TransferLoop &Loop, Transfer Work) {
+TransferResult perform(TransferLoop &Loop, Transfer Outgoing) {
   auto Promise = std::make_shared<std::promise<TransferResult>>();
   auto Future = Promise->get_future();
-  Work.m_OnEnd = [Promise](TransferResult Result) {
+  Outgoing.m_OnEnd = [Promise](TransferResult Result) {
     Promise->set_value(std::move(Result));
   };
-  Loop.submit(std::move(Work));
-  REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+  Loop.submit(std::move(Outgoing));
+  REQUIRE(Future.wait_for(TestTimeout) == std::future_status::ready);
   return Future.get();
 }
 
 Transfer makeTransfer(const std::string &Method, const std::string &Address,
                       std::string Body = {}) {
-  Transfer Work;
-  Work.m_Method = Method;
-  Work.m_Url = "http://" + Address + "/path";
-  Work.m_Body = std::move(Body);
-  Work.m_BodyLength = Work.m_Body.size();
-  Work.m_Deadline = runtime::bootNow() + std::chrono::seconds(5);
-  return Work;
+  Transfer Outgoing;
+  Outgoing.m_Method = Method;
+  Outgoing.m_Url = "http://" + Address + "/path";
+  Outgoing.m_Body = std::move(Body);
+  Outgoing.m_BodyLength = Outgoing.m_Body.size();
+  Outgoing.m_Deadline = runtime::bootNow() + std::chrono::seconds(5);
+  return Outgoing;
 }
 
 } // namespace
@@ -45,10 +45,10 @@
     return RawReply{httpAnswer("201 Created", "hello", "X-A: b\r\n")};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("POST", Server.address(), "body");
-  Work.m_Headers = {"X-Test: 1"};
-  Work.m_DeadlineHeader = "Left";
-  const TransferResult Result = perform(Loop, std::move(Work));
+  Transfer Outgoing = makeTransfer("POST", Server.address(), "body");
+  Outgoing.m_Headers = {"X-Test: 1"};
+  Outgoing.m_DeadlineHeader = "Left";
+  const TransferResult Result = perform(Loop, std::move(Outgoing));
 
   CHECK(Result.m_End == TransferEnd::Answered);
   CHECK(Result.m_Answer.m_Status == 201);
@@ -87,13 +87,13 @@
 }
 
 TEST_CASE("a refused connection means that nothing was sent") {
-  std::string Gone;
+  std::string ClosedAddress;
   {
     RawServer Server([](const std::string &, int) { return RawReply{}; });
-    Gone = Server.address();
+    ClosedAddress = Server.address();
   }
   TransferLoop Loop({});
-  CHECK(perform(Loop, makeTransfer("POST", Gone, "x")).m_End ==
+  CHECK(perform(Loop, makeTransfer("POST", ClosedAddress, "x")).m_End ==
         TransferEnd::NotSent);
 }
 
@@ -102,9 +102,9 @@
     return RawReply{httpAnswer("200 OK", "x")};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_Deadline = runtime::bootNow() - Duration(1);
-  CHECK(perform(Loop, std::move(Work)).m_End == TransferEnd::NotSent);
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_Deadline = runtime::bootNow() - Duration(1);
+  CHECK(perform(Loop, std::move(Outgoing)).m_End == TransferEnd::NotSent);
   CHECK(Server.requests().empty());
 }
 
@@ -113,9 +113,9 @@
     return RawReply{.m_Bytes = {}, .m_Silent = true};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_Deadline = runtime::bootNow() + std::chrono::milliseconds(200);
-  CHECK(perform(Loop, std::move(Work)).m_End == TransferEnd::TimedOut);
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_Deadline = runtime::bootNow() + std::chrono::milliseconds(200);
+  CHECK(perform(Loop, std::move(Outgoing)).m_End == TransferEnd::TimedOut);
 }
 
 TEST_CASE("an answer that is cut is no answer") {
@@ -132,18 +132,18 @@
     return RawReply{.m_Bytes = {}, .m_Silent = true};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_Id = TransferId(7);
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_Id = TransferId(7);
   std::promise<TransferEnd> End;
   auto Future = End.get_future();
-  Work.m_OnEnd = [&End](const TransferResult &Result) {
+  Outgoing.m_OnEnd = [&End](const TransferResult &Result) {
     End.set_value(Result.m_End);
   };
-  Loop.submit(std::move(Work));
+  Loop.submit(std::move(Outgoing));
   while (Server.requests().empty())
     std::this_thread::yield();
   Loop.cancel(TransferId(7));
-  REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(Future.wait_for(TestTimeout) == std::future_status::ready);
   CHECK(Future.get() == TransferEnd::Cancelled);
 }
 
@@ -155,9 +155,9 @@
   runtime::BodyPipePtr Pipe;
   std::string Prefix;
   std::promise<void> Answering;
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_MakePipe = [&](std::string_view First,
-                        std::optional<std::uint64_t> Length) {
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_MakePipe = [&](std::string_view First,
+                            std::optional<std::uint64_t> Length) {
     runtime::BodyPipeOptions Options;
     Options.m_Id = 5;
     Options.m_Prefix = First;
@@ -165,7 +165,7 @@
     Pipe = std::make_shared<runtime::BodyPipe>(Options);
     return Pipe;
   };
-  Work.m_OnAnswering = [&](HttpAnswer Head) {
+  Outgoing.m_OnAnswering = [&](HttpAnswer Head) {
     CHECK(Head.m_Status == 200);
     CHECK(Head.m_BodyLength == Body.size());
     CHECK(Head.m_BodyStream == 5);
@@ -173,12 +173,12 @@
     Answering.set_value();
   };
   std::promise<TransferResult> End;
-  Work.m_OnEnd = [&End](TransferResult Result) {
+  Outgoing.m_OnEnd = [&End](TransferResult Result) {
     End.set_value(std::move(Result));
   };
   TransferLoop Loop({});
-  Loop.submit(std::move(Work));
-  REQUIRE(Answering.get_future().wait_for(Patience) ==
+  Loop.submit(std::move(Outgoing));
+  REQUIRE(Answering.get_future().wait_for(TestTimeout) ==
           std::future_status::ready);
   CHECK(Prefix.size() <= InlineBodyLimit);
 
@@ -199,26 +199,27 @@
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer("200 OK", "ok")};
   });
-  Transfer Work = makeTransfer("PUT", Server.address());
-  Work.m_Body = Body.substr(0, 1000);
-  Work.m_BodyLength = Body.size();
+  Transfer Outgoing = makeTransfer("PUT", Server.address());
+  Outgoing.m_Body = Body.substr(0, 1000);
+  Outgoing.m_BodyLength = Body.size();
   runtime::BodyPipeOptions Options;
-  Options.m_Prefix = Work.m_Body;
+  Options.m_Prefix = Outgoing.m_Body;
   Options.m_Length = Body.size();
   auto Pipe = std::make_shared<runtime::BodyPipe>(Options);
-  Work.m_Upload = Pipe;
+  Outgoing.m_Upload = Pipe;
   std::thread Writer([&] {
-    for (std::size_t At = 1000; At < Body.size();) {
-      const std::size_t Part = std::min<std::size_t>(50'000, Body.size() - At);
-      if (Pipe->tryWrite(std::string_view(Body).substr(At, Part)))
-        At += Part;
+    for (std::size_t Offset = 1000; Offset < Body.size();) {
+      const std::size_t Part =
+          std::min<std::size_t>(50'000, Body.size() - Offset);
+      if (Pipe->tryWrite(std::string_view(Body).substr(Offset, Part)))
+        Offset += Part;
       else
         std::this_thread::yield();
     }
     Pipe->finish();
   });
   TransferLoop Loop({});
-  const TransferResult Result = perform(Loop, std::move(Work));
+  const TransferResult Result = perform(Loop, std::move(Outgoing));
   Writer.join();
   CHECK(Result.m_End == TransferEnd::Answered);
   REQUIRE(Server.requests().size() == 1);
