--- a/src/adapters/caller_http/answer.cpp
+++ b/src/adapters/caller_http/answer.cpp
@@ -1,4 +1,4 @@
-// Building responses, whole and streamed.
+// Builds responses with a complete or a streamed body.
 #include "adapters/caller_http/answer.h"
 
 #include <nlohmann/json.hpp>
@@ -18,7 +18,7 @@
 constexpr std::size_t StreamBlockBytes = std::size_t{64} * 1024;
 constexpr std::string_view OwnHeaderPrefix = "Balsamwheel-";
 
-/// Headers that concern one connection only, or that the server sets.
+/// Hop-by-hop headers, and headers that the server sets itself.
 constexpr std::array<std::string_view, 8> HopByHopHeaders{
     "Connection",     "Keep-Alive", "Proxy-Connection", "Transfer-Encoding",
     "Content-Length", "Trailer",    "Upgrade",          "Date"};
@@ -56,7 +56,7 @@
       Owned->size(), Owned->data(), &freeString, Owned);
 }
 
-/// Reads a body first from its inline part, then from a pipe.
+/// Reads the inline part of a body first, then the pipe.
 struct StreamReader {
   std::string m_Prefix;
   std::size_t m_PrefixRead = 0;
--- a/src/adapters/caller_http/answer.h
+++ b/src/adapters/caller_http/answer.h
@@ -1,4 +1,4 @@
-// Answers to callers as HTTP responses.
+// Builds the HTTP responses that are sent to callers.
 #pragma once
 
 #include "adapters/caller_http/request_parser.h"
@@ -20,17 +20,18 @@
 };
 using ResponsePtr = std::unique_ptr<MHD_Response, ResponseDeleter>;
 
-/// What a caller is told instead of a target's answer.
+/// The response to a caller whose request has no answer from a target.
 struct Problem {
   std::uint16_t m_Status = 503;
   Outcome m_Outcome = Outcome::NotRun;
   Reason m_Reason = Reason::None;
   std::string m_Detail;
   RequestId m_Id;
+  /// When the caller should retry; 0 when no time is given.
   Duration m_RetryAfter{0};
 };
 
-/// The status that goes with an outcome other than done.
+/// The HTTP status for an outcome other than done.
 std::uint16_t statusOf(Outcome Value, Reason Cause);
 
 /// The JSON body of a problem.
@@ -39,10 +40,13 @@
 /// Builds a response from a problem.
 ResponsePtr makeProblemResponse(const Problem &Value);
 
-/// Builds a response from a target's answer that is here whole.
+/// Builds a response from a target's answer whose complete body is inline.
 ResponsePtr makeCompleteResponse(AnswerCaller Answer, const RequestId &Id);
 
-/// Builds a response whose body is read from a pipe as it comes.
+/// Builds a response whose body streams: first the inline part, then the bytes
+/// of a pipe as they arrive.
+///
+/// \param Rest the remainder of the body.
 ResponsePtr makeStreamedResponse(AnswerCaller Answer, const RequestId &Id,
                                  MHD_Connection *Connection,
                                  runtime::BodyPipePtr Rest);
--- a/src/adapters/caller_http/caller_server.cpp
+++ b/src/adapters/caller_http/caller_server.cpp
@@ -1,4 +1,4 @@
-// Callers' connections on libmicrohttpd.
+// Implements the caller server on libmicrohttpd.
 #include "adapters/caller_http/caller_server.h"
 
 #include "adapters/caller_http/answer.h"
@@ -18,6 +18,7 @@
 namespace {
 
 constexpr std::uint16_t StatusLengthRequired = 411;
+/// Retry time sent to callers when the node's queue is full.
 constexpr Duration BusyRetryAfter = std::chrono::milliseconds(100);
 
 MHD_Result addHeaderValue(void *Output, MHD_ValueKind, const char *Name,
@@ -81,7 +82,7 @@
                       std::size_t &Remaining);
   bool startUpload(CallerExchange &Exchange);
   MHD_Result finishRequest(CallerExchange &Exchange);
-  /// False when the answer is here already.
+  /// Returns false without suspending if the answer has already arrived.
   static bool suspendUntilAnswer(CallerExchange &Exchange);
   void submitRequest(CallerExchange &Exchange);
   MHD_Result refuse(CallerExchange &Exchange, const Refusal &Cause);
@@ -144,7 +145,7 @@
     for (const auto &[Handle, Exchange] : m_Open)
       OpenExchanges.push_back(Exchange);
   }
-  // libmicrohttpd must not be stopped with suspended connections.
+  // libmicrohttpd must not be stopped while connections are suspended.
   for (const auto &Exchange : OpenExchanges) {
     if (Exchange->m_Upload)
       Exchange->m_Upload->fail();
@@ -218,8 +219,9 @@
 
 MHD_Result CallerServer::Impl::refuseHead(CallerExchange &Exchange,
                                           const Refusal &Cause) {
-  // Answering before the body has come closes the connection, so a request
-  // without a body is answered once it is complete.
+  // libmicrohttpd closes the connection after a response that is queued before
+  // the request is complete. For a request without a body, the response is
+  // therefore delayed until then, which keeps the connection usable.
   if (MHD_lookup_connection_value(Exchange.m_Connection, MHD_HEADER_KIND,
                                   "Content-Length") != nullptr ||
       MHD_lookup_connection_value(Exchange.m_Connection, MHD_HEADER_KIND,
@@ -260,9 +262,9 @@
 
 bool CallerServer::Impl::startUpload(CallerExchange &Exchange) {
   if (!Exchange.m_Parsed.m_BodyLength) {
-    Exchange.m_Refusal =
-        Refusal{.m_Status = StatusLengthRequired,
-                .m_Detail = "a long body needs its Content-Length"};
+    Exchange.m_Refusal = Refusal{
+        .m_Status = StatusLengthRequired,
+        .m_Detail = "a long request body requires a Content-Length header"};
     return false;
   }
   Exchange.m_Upload =
@@ -331,7 +333,7 @@
       Rest->abandon();
     return;
   }
-  // An answer ends the upload: what is left of it is read and dropped.
+  // An answer ends the upload; the remaining bytes are read and discarded.
   if (Exchange->m_Upload &&
       Exchange->m_Upload->state() == runtime::PipeState::Open)
     Exchange->m_Upload->fail();
--- a/src/adapters/caller_http/caller_server.h
+++ b/src/adapters/caller_http/caller_server.h
@@ -1,4 +1,4 @@
-// The HTTP interface for callers.
+// The HTTP server that accepts requests from callers.
 #pragma once
 
 #include "balsamwheel/detail/node/effects.h"
@@ -19,51 +19,52 @@
   /// "host:port".
   std::string m_Listen;
   unsigned m_MaxConnections = 4096;
-  /// Memory of one connection; bounds the size of a request's head.
+  /// Bytes of memory per connection; limits the size of a request's head.
   std::size_t m_ConnectionMemory = std::size_t{32} * 1024;
-  /// An idle connection is closed after this time.
+  /// Idle connections are closed after this time.
   std::chrono::seconds m_IdleTimeout{120};
-  /// Goes into generated request ids.
+  /// Session of this daemon; part of the request ids that the server generates.
   std::uint64_t m_Session = 0;
 };
 
 /// Called on the server's thread.
 struct CallerHandlers {
-  /// The configuration in force, null while none is known.
+  /// Returns the active configuration, null before the first one is loaded.
   std::function<std::shared_ptr<const Config>()> m_Config;
-  /// Takes a request; false when there is no room for it.
+  /// Accepts a request; returns false when the node's queue is full.
   std::function<bool(IncomingRequest &Request)> m_OnRequest;
-  /// The caller left before its answer.
+  /// The caller disconnected before its answer was sent.
   std::function<void(RequestHandle)> m_OnGone;
-  /// Makes the pipe for the rest of a long request body.
+  /// Creates the pipe for the remainder of a long request body.
   std::function<runtime::BodyPipePtr(std::string_view Prefix,
                                      std::optional<std::uint64_t> Length)>
       m_MakePipe;
-  /// A request was refused here; it reaches no target.
+  /// The server refused a request itself, so it reaches no target.
   std::function<void(Reason)> m_OnRefused;
 };
 
 /// Satisfies CallerEntrance. One thread serves all connections; a connection
-/// that waits for its answer is suspended.
+/// is suspended while it waits for its answer.
 class CallerServer {
 public:
   CallerServer(CallerServerOptions Options, CallerHandlers Handlers);
   ~CallerServer();
 
   std::error_code start();
-  /// Sends the answer of a request; any thread.
+  /// Sends the answer to a request. May be called from any thread.
   ///
-  /// \param Rest the rest of a long body. When it is null although the answer
-  /// names one, the connection is aborted.
+  /// \param Rest the remainder of a long body. If it is null although the
+  /// answer names a body stream, the connection is aborted.
   void answer(AnswerCaller Answer, runtime::BodyPipePtr Rest);
-  /// Asks callers to open no further request on their connections.
+  /// Adds "Connection: close" to all answers from now on, so that callers send
+  /// no further requests on their connections.
   void closeAfterAnswers();
   /// Accepts no further connections.
   void stopListening();
-  /// Requests whose answers are not sent completely.
+  /// Number of requests whose answers have not been sent completely.
   std::size_t openRequests() const;
   std::uint16_t port() const;
-  /// Ends the thread; open requests are aborted.
+  /// Aborts open requests and ends the thread.
   void stop();
 
 private:
--- a/src/adapters/caller_http/request_parser.cpp
+++ b/src/adapters/caller_http/request_parser.cpp
@@ -1,4 +1,4 @@
-// The caller's headers and the rules they must keep.
+// Validates the headers of callers' requests.
 #include "adapters/caller_http/request_parser.h"
 
 #include <algorithm>
@@ -13,6 +13,7 @@
 constexpr std::uint16_t StatusNotFound = 404;
 constexpr std::uint16_t StatusTooLarge = 413;
 constexpr std::uint16_t StatusUnavailable = 503;
+/// Retry time sent to callers before the first configuration is loaded.
 constexpr Duration NoConfigRetryAfter = std::chrono::milliseconds(500);
 
 const std::string *findHeader(const RequestHead &Head, std::string_view Name) {
@@ -47,9 +48,9 @@
                      [](char C) { return C > ' ' && C < '\x7f'; });
 }
 
-/// A number in a header, within bounds; the default when absent.
+/// Reads a number from a header; the default if the header is absent.
 ///
-/// \returns none when it is no such number.
+/// \returns none if the value is not a number from \p Min to \p Max.
 std::optional<std::uint64_t> numberHeader(const RequestHead &Head,
                                           std::string_view Name,
                                           std::uint64_t Min, std::uint64_t Max,
@@ -67,6 +68,7 @@
   return {.m_Status = StatusBadRequest, .m_Detail = std::move(Detail)};
 }
 
+/// Largest deadline and age that a header may state: one day.
 constexpr std::uint64_t MaxDurationMs = 24ULL * 3600 * 1000;
 constexpr std::uint64_t MaxAttempt = 1'000'000;
 
@@ -78,7 +80,8 @@
   return nullptr;
 }
 
-/// Builds a ParsedRequest step by step; each step refuses or returns none.
+/// Builds a ParsedRequest in steps. Each step returns a refusal, or none if the
+/// request is valid so far.
 class Parser {
 public:
   Parser(const RequestHead &Head, const Config &ActiveConfig)
@@ -109,7 +112,7 @@
     if (!m_Service->m_DividedByKey)
       return std::nullopt;
     if (Key.empty())
-      return badRequest("the service needs a key: header Balsamwheel-Key or "
+      return badRequest("the service requires a key: header Balsamwheel-Key or "
                         "query parameter 'key'");
     m_Result.m_Meta.m_Key = Key;
     return std::nullopt;
@@ -160,7 +163,7 @@
       return badRequest("Balsamwheel-First-Attempt-Age-Ms must be a whole "
                         "number of milliseconds");
     if (*Attempt > 1 && Id == nullptr)
-      return badRequest("a repeated attempt needs its Balsamwheel-Request-Id");
+      return badRequest("a repeated attempt requires Balsamwheel-Request-Id");
     m_Result.m_Meta.m_Attempt = static_cast<std::uint32_t>(*Attempt);
     m_Result.m_Meta.m_FirstAttemptAge = std::chrono::milliseconds(*Age);
     return std::nullopt;
@@ -176,7 +179,7 @@
     }
     m_Result.m_BodyLength = parseNumber(*Text);
     if (!m_Result.m_BodyLength)
-      return badRequest("Content-Length is no number");
+      return badRequest("Content-Length is not a number");
     if (*m_Result.m_BodyLength > m_Result.m_MaxBodyBytes)
       return Refusal{.m_Status = StatusTooLarge,
                      .m_Detail = "the body is larger than " +
@@ -230,7 +233,7 @@
     return Refusal{.m_Status = StatusUnavailable,
                    .m_Outcome = Outcome::Wait,
                    .m_Reason = Reason::NoOwner,
-                   .m_Detail = "no configuration is known yet",
+                   .m_Detail = "no configuration has been loaded yet",
                    .m_RetryAfter = NoConfigRetryAfter};
   Parser Steps(Head, *ActiveConfig);
   if (auto Problem = Steps.readService())
--- a/src/adapters/caller_http/request_parser.h
+++ b/src/adapters/caller_http/request_parser.h
@@ -1,4 +1,5 @@
-// Checks the head of a caller's request and classifies it by the manifest.
+// Validates the head of a caller's request and assigns its service, key and
+// class from headers, path and manifest.
 #pragma once
 
 #include "balsamwheel/detail/core/outcome.h"
@@ -15,28 +16,28 @@
 
 namespace balsamwheel::caller_http {
 
-/// The head of a request as it came in.
+/// The request line and headers of a request as received.
 struct RequestHead {
   std::string m_Method;
-  /// Path and query, not decoded.
+  /// The request target: path and query, not decoded.
   std::string m_RequestTarget;
   std::vector<std::pair<std::string, std::string>> m_Headers;
-  /// Decoded query parameter "key".
+  /// The decoded query parameter "key".
   std::optional<std::string> m_QueryKey;
 };
 
-/// A request that may be routed.
+/// A valid request that can be routed.
 struct ParsedRequest {
   RequestMeta m_Meta;
   Urgency m_Urgency = Urgency::Interactive;
-  /// Time the caller gives, at most the class's deadline.
+  /// Time until the caller's deadline, at most the deadline of the class.
   Duration m_TimeLeft{0};
   std::uint64_t m_MaxBodyBytes = 0;
-  /// None when the body is sent in chunks of unknown number.
+  /// None for a body with chunked transfer encoding.
   std::optional<std::uint64_t> m_BodyLength;
 };
 
-/// A request that reaches no target.
+/// The response to a request that is refused before it reaches a target.
 struct Refusal {
   std::uint16_t m_Status = 400;
   Outcome m_Outcome = Outcome::NotRun;
@@ -45,24 +46,25 @@
   Duration m_RetryAfter{0};
 };
 
+/// Longest key in bytes.
 inline constexpr std::size_t MaxKeyLength = 512;
 
-/// Checks and classifies a request.
+/// Validates and classifies a request.
 ///
-/// \param Known the configuration in force; null while none is known.
-/// \param GeneratedId the id of a request that brings none.
-/// Complexity: linear in headers, classes and patterns.
+/// \param ActiveConfig null before the first configuration is loaded.
+/// \param GeneratedId the id for a request that does not carry one.
+/// Complexity: linear in the numbers of headers, classes and patterns.
 std::variant<ParsedRequest, Refusal> parseRequest(const RequestHead &Head,
                                                   const Config *ActiveConfig,
                                                   const RequestId &GeneratedId);
 
-/// Picks the class of a request by the longest pattern that matches.
+/// Selects the class of a request by the longest matching pattern.
 ///
-/// \returns the first class when none matches.
+/// \returns the first class if no pattern matches.
 const RequestClass &matchClass(const Service &Target, std::string_view Method,
                                std::string_view Path);
 
-/// Compares names of headers. Complexity: linear.
+/// Compares header names, ignoring case. Complexity: linear.
 bool sameHeaderName(std::string_view First, std::string_view Second);
 
 } // namespace balsamwheel::caller_http
--- a/src/adapters/http_client/exchange.cpp
+++ b/src/adapters/http_client/exchange.cpp
@@ -1,4 +1,4 @@
-// Setting up a libcurl handle and moving headers and bodies through it.
+// Configures a libcurl handle and passes headers and bodies through it.
 #include "adapters/http_client/exchange.h"
 
 #include "runtime/boot_clock.h"
@@ -88,7 +88,7 @@
   curl_slist *List = nullptr;
   for (const std::string &Line : m_Transfer.m_Headers)
     List = curl_slist_append(List, Line.c_str());
-  // Headers that libcurl would add of its own accord.
+  // Suppress the headers that libcurl adds by default.
   for (const char *Name : {"Accept:", "Expect:", "Content-Type:"}) {
     const std::size_t Size = std::strlen(Name);
     const bool Given =
@@ -114,7 +114,7 @@
 
 int Exchange::onBeforeRequest(void *Self, char *, char *, int, int) {
   Exchange &This = *static_cast<Exchange *>(Self);
-  // libcurl calls again when it repeats a request on a new connection.
+  // libcurl calls this again when it retries the request on a new connection.
   if (This.m_SendCount > 0)
     return CURL_PREREQFUNC_ABORT;
   const TimePoint Now = runtime::bootNow();
@@ -186,7 +186,7 @@
     if (Waiting)
       return CURL_WRITEFUNC_PAUSE;
   }
-  // A reader that gave up ends the transfer.
+  // The transfer ends if the reader has abandoned the pipe.
   return m_Download->state() == runtime::PipeState::Failed ? 0 : Bytes.size();
 }
 
--- a/src/adapters/http_client/exchange.h
+++ b/src/adapters/http_client/exchange.h
@@ -1,4 +1,4 @@
-// A running transfer: its libcurl handle and the callbacks of that handle.
+// One running transfer: its libcurl handle and the handle's callbacks.
 #pragma once
 
 #include "adapters/http_client/transfer.h"
@@ -12,13 +12,13 @@
 
 namespace balsamwheel::http_client {
 
-/// Owns a libcurl handle that is used for one transfer after another.
+/// Owns a libcurl easy handle, which is reused for one transfer after another.
 ///
-/// Invariant: at most one request is put on the wire per begin(); a
-/// repetition by libcurl is stopped before its first byte.
+/// Invariant: at most one request is sent per begin(). When libcurl retries a
+/// request by itself, the retry is aborted before its first byte.
 class Exchange {
 public:
-  /// \p Resume asks the loop to call resume() on its thread.
+  /// \param Resume makes the loop call resume() on its thread.
   explicit Exchange(std::function<void(Exchange &)> Resume);
   ~Exchange();
   Exchange(const Exchange &) = delete;
@@ -29,7 +29,7 @@
   void begin(Transfer Outgoing, long MaxIdleSeconds, TimePoint Now);
   /// Continues after a pause in either direction.
   void resume();
-  /// Reports the end and forgets the transfer.
+  /// Reports the end of the transfer and resets the exchange for the next one.
   void end(CURLcode Code, TimePoint Now);
   /// Marks the transfer as ended by cancel().
   void markCancelled() { m_Cancelled = true; }
@@ -57,16 +57,17 @@
 
   CURL *m_Easy;
   std::function<void(Exchange &)> m_Resume;
-  /// Tells late pipe callbacks that this object is gone.
+  /// Lets pipe callbacks detect that the transfer has ended.
   std::shared_ptr<Exchange *> m_Alive;
   curl_slist *m_HeaderList = nullptr;
   Transfer m_Transfer;
   HttpAnswer m_Answer;
-  /// Carries the rest of a long answer.
+  /// Carries the remainder of a long answer.
   runtime::BodyPipePtr m_Download;
+  /// Bytes of the inline part of the body that were sent.
   std::size_t m_PrefixSent = 0;
   TimePoint m_StartTime;
-  /// Times that libcurl was about to send the request.
+  /// Number of times that libcurl was allowed to send the request: 0 or 1.
   unsigned m_SendCount = 0;
   bool m_Cancelled = false;
 };
--- a/src/adapters/http_client/transfer.h
+++ b/src/adapters/http_client/transfer.h
@@ -1,4 +1,5 @@
-// One HTTP exchange with a server, as the transfer loop carries it out.
+// Describes one HTTP exchange with a server and its result, for the transfer
+// loop.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -13,30 +14,31 @@
 
 namespace balsamwheel::http_client {
 
-/// Names a transfer for cancel(); chosen by the submitter, 0 for none.
+/// Identifies a transfer for cancel(). Assigned by the submitter; 0 if the
+/// transfer cannot be cancelled.
 using TransferId = StrongId<struct TransferIdTag, std::uint64_t>;
 
 enum class TransferEnd : std::uint8_t {
-  /// The whole answer came.
+  /// The complete answer was received.
   Answered,
-  /// No byte of the request left this process.
+  /// No byte of the request was sent.
   NotSent,
-  /// Bytes may have left, but no whole answer came.
+  /// Bytes may have been sent, but no complete answer was received.
   Broken,
-  /// The deadline passed after bytes may have left.
+  /// The deadline passed after bytes may have been sent.
   TimedOut,
-  /// cancel() ended it after bytes may have left.
+  /// Ended by cancel() after bytes may have been sent.
   Cancelled,
 };
 
 struct TransferResult {
   TransferEnd m_End = TransferEnd::NotSent;
   HttpAnswer m_Answer;
-  /// From the hand-over to the loop until the end.
+  /// From the start of the transfer on the loop's thread until its end.
   Duration m_Latency{0};
 };
 
-/// Makes the pipe that carries the rest of a long answer.
+/// Creates the pipe that carries the remainder of a long answer.
 using PipeFactory = std::function<runtime::BodyPipePtr(
     std::string_view Prefix, std::optional<std::uint64_t> Length)>;
 
@@ -46,22 +48,25 @@
   std::string m_Url;
   /// "Name: value" lines.
   std::vector<std::string> m_Headers;
-  /// Sent with the time left until the deadline in milliseconds; none if
-  /// empty.
+  /// Name of a header that states the time until the deadline in milliseconds;
+  /// no such header is sent if the name is empty.
   std::string m_DeadlineHeader;
-  /// The whole body, or its first part when m_Upload is set.
+  /// The complete body, or its first part if m_Upload is set.
   std::string m_Body;
+  /// The remainder of a long body; null if m_Body is complete.
   runtime::BodyPipePtr m_Upload;
+  /// Bytes of the complete body.
   std::uint64_t m_BodyLength = 0;
   TimePoint m_Deadline;
-  /// The request is not sent when this much time passed since its time left
-  /// was computed.
+  /// The request is not sent if more than this time has passed since the time
+  /// left for the deadline header was computed.
   Duration m_MaxSendDelay = std::chrono::milliseconds(50);
-  /// Set to let long answers stream; else they are kept whole.
+  /// If set, long answers are streamed; otherwise they are buffered completely.
   PipeFactory m_MakePipe;
-  /// Called on the loop's thread when a long answer begins.
+  /// Called on the loop's thread when a long answer starts to stream.
   std::function<void(HttpAnswer Head)> m_OnAnswering;
-  /// Called once on the loop's thread.
+  /// Called exactly once, usually on the loop's thread; see
+  /// TransferLoop::submit().
   std::function<void(TransferResult Result)> m_OnEnd;
 };
 
--- a/src/adapters/http_client/transfer_loop.cpp
+++ b/src/adapters/http_client/transfer_loop.cpp
@@ -1,4 +1,4 @@
-// The loop around libcurl's multi interface.
+// Runs libcurl's multi interface on one thread.
 #include "adapters/http_client/transfer_loop.h"
 
 #include "adapters/http_client/exchange.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Longest sleep without an event; libcurl's own timers cut it short.
+/// Longest wait for an event in milliseconds; libcurl's timers end it earlier.
 constexpr int MaxSleepMs = 1000;
 
 struct CurlWaker {
@@ -90,7 +90,7 @@
       int Running = 0;
       curl_multi_perform(m_Multi, &Running);
       finishCompleted();
-      // A finished transfer may have handed over the next one.
+      // The callback of a finished transfer may have submitted the next one.
       if (!m_Commands.prepareToSleep())
         continue;
       if (m_Resumes.prepareToSleep())
@@ -194,11 +194,11 @@
   CURLM *m_Multi;
   CurlWaker m_Waker;
   runtime::Mailbox<Command, CurlWaker> m_Commands;
-  /// Apart from the commands, since pipes post here from this thread too.
+  /// Separate from the commands, because pipes also post from this thread.
   runtime::Mailbox<ResumeTransfer, CurlWaker> m_Resumes;
   std::atomic<bool> m_Stop{false};
   std::thread m_Thread;
-  // Only the thread uses what follows.
+  // The members below are accessed only by the thread.
   std::unordered_map<Exchange *, std::unique_ptr<Exchange>> m_Running;
   std::unordered_map<TransferId, Exchange *> m_ById;
   std::vector<std::unique_ptr<Exchange>> m_Idle;
--- a/src/adapters/http_client/transfer_loop.h
+++ b/src/adapters/http_client/transfer_loop.h
@@ -1,4 +1,4 @@
-// A thread that carries out HTTP exchanges through libcurl.
+// A thread that performs HTTP exchanges through libcurl.
 #pragma once
 
 #include "adapters/http_client/transfer.h"
@@ -12,29 +12,30 @@
 struct TransferLoopOptions {
   /// Name of the thread.
   std::string m_Name = "http";
-  /// Most connections open at the same time.
+  /// Maximum number of open connections.
   long m_MaxConnections = 130;
-  /// Idle connections older than this are not used again.
+  /// Connections that were idle for longer are not reused.
   std::chrono::seconds m_MaxIdle{20};
-  /// Most transfers handed over and not yet begun.
+  /// Maximum number of submitted transfers that have not been started.
   std::size_t m_QueueSize = 1024;
 };
 
-/// Sends each request at most once: libcurl's own repetition on a connection
-/// that turns out dead is suppressed.
+/// Sends each request at most once: libcurl's automatic retry after a reused
+/// connection has failed is suppressed.
 class TransferLoop {
 public:
   explicit TransferLoop(TransferLoopOptions Options);
   ~TransferLoop();
 
-  /// Hands a transfer over; any thread. When the queue is full it ends as
-  /// NotSent on the calling thread.
+  /// Queues a transfer. May be called from any thread. If the queue is full or
+  /// the loop has stopped, the transfer ends as NotSent on the calling thread.
   void submit(Transfer Outgoing);
-  /// Ends a transfer early; any thread. Its end is still reported.
+  /// Ends a transfer early; its end is still reported. May be called from any
+  /// thread.
   void cancel(TransferId Id);
-  /// Changes the cap on connections; any thread.
+  /// Changes the maximum number of connections. May be called from any thread.
   void setMaxConnections(long Connections);
-  /// Ends the thread; open transfers are reported as broken or not sent.
+  /// Ends the thread. Open transfers are reported as Broken or NotSent.
   void stop();
 
 private:
--- a/src/adapters/http_server/control_server.cpp
+++ b/src/adapters/http_server/control_server.cpp
@@ -1,4 +1,4 @@
-// The control server on libmicrohttpd.
+// Implements the control server on libmicrohttpd.
 #include "adapters/http_server/control_server.h"
 
 #include "adapters/http_server/listen_address.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Lives for one request.
+/// State of one request while it is received.
 struct PendingRequest {
   ControlRequest m_Request;
   bool m_TooLarge = false;
--- a/src/adapters/http_server/control_server.h
+++ b/src/adapters/http_server/control_server.h
@@ -27,6 +27,7 @@
 struct ControlServerOptions {
   /// "host:port".
   std::string m_Listen;
+  /// Longest request body in bytes.
   std::size_t m_MaxBody = std::size_t{64} * 1024;
   unsigned m_MaxConnections = 64;
 };
@@ -42,7 +43,8 @@
   ControlServer &operator=(const ControlServer &) = delete;
 
   std::error_code start();
-  /// The port in use; another than asked for when that was 0.
+  /// The port that the server listens on; differs from the configured one if
+  /// that is 0.
   std::uint16_t port() const;
   void stop();
 
--- a/src/adapters/http_server/listen_address.cpp
+++ b/src/adapters/http_server/listen_address.cpp
@@ -1,4 +1,4 @@
-// Parsing of listening addresses.
+// Parses listening addresses.
 #include "adapters/http_server/listen_address.h"
 
 #include <arpa/inet.h>
--- a/src/adapters/http_server/listen_address.h
+++ b/src/adapters/http_server/listen_address.h
@@ -1,4 +1,4 @@
-// Reads "host:port" with a numeric host.
+// Parses listening addresses of the form "IPv4:port".
 #pragma once
 
 #include <netinet/in.h>
@@ -8,7 +8,7 @@
 
 namespace balsamwheel::http_server {
 
-/// \returns none unless \p Text is an IPv4 number and a port.
+/// \returns none unless \p Text is a numeric IPv4 address and a port.
 std::optional<sockaddr_in> parseListenAddress(std::string_view Text);
 
 } // namespace balsamwheel::http_server
--- a/src/adapters/peer_tcp/codec.h
+++ b/src/adapters/peer_tcp/codec.h
@@ -13,15 +13,16 @@
 
 namespace balsamwheel::peer_tcp {
 
-/// Longest frame that is sent or accepted, without its length prefix.
+/// Maximum size of a frame in bytes, without its length prefix.
 inline constexpr std::size_t MaxFrameBytes = 8U << 20U;
 
-/// Version of the protocol that Hello states.
+/// Protocol version stated in Hello.
 inline constexpr std::uint16_t ProtocolVersion = 1;
 
-/// First message on each connection: who is calling.
+/// First message on each connection; identifies the daemon that opened it.
 struct Hello {
   std::uint16_t m_Version = ProtocolVersion;
+  /// Address that the sender advertises to its peers.
   PeerAddress m_Listen;
 };
 
@@ -35,7 +36,7 @@
 /// Verifies and decodes one frame.
 ///
 /// \param Bytes the frame without its length prefix; untrusted.
-/// \param Message receives the result; unchanged on an error.
+/// \param Message receives the result; unchanged if an error is returned.
 /// \returns FrameTooLarge, MalformedFrame or InvalidField.
 /// Complexity: linear in the size of the frame.
 std::error_code decode(std::span<const std::uint8_t> Bytes,
--- a/src/adapters/peer_tcp/connection.cpp
+++ b/src/adapters/peer_tcp/connection.cpp
@@ -1,4 +1,4 @@
-// Framing, reading and writing of one peer connection.
+// Frames, reads and writes the messages of one connection.
 #include "adapters/peer_tcp/connection.h"
 
 #include <ace/OS_NS_sys_socket.h>
@@ -13,11 +13,12 @@
 
 namespace {
 
+/// Length prefix of a frame, little-endian.
 constexpr std::size_t PrefixBytes = 4;
 constexpr std::size_t ReadChunkBytes = 64UL * 1024;
-/// Reads per event, so that one busy peer does not starve the others.
+/// Maximum reads per event, so that one busy peer does not starve the others.
 constexpr int MaxReadsPerEvent = 8;
-/// Sent bytes that may stay at the front of the buffer before it is moved.
+/// Sent bytes at the front of the output buffer are erased above this size.
 constexpr std::size_t CompactThresholdBytes = 256UL * 1024;
 
 std::uint32_t readPrefix(const std::uint8_t *Bytes) {
@@ -148,7 +149,7 @@
       break;
     const auto Begin =
         m_In.begin() + static_cast<std::ptrdiff_t>(Position + PrefixBytes);
-    // A copy of its own gives the frame the alignment that it needs.
+    // FlatBuffers requires an aligned buffer, so the frame is copied.
     const std::vector<std::uint8_t> Frame(
         Begin, Begin + static_cast<std::ptrdiff_t>(Length));
     Position += PrefixBytes + Length;
--- a/src/adapters/peer_tcp/connection.h
+++ b/src/adapters/peer_tcp/connection.h
@@ -15,8 +15,8 @@
 
 class Connection;
 
-/// What a connection tells its owner. Called on the reactor's thread; a
-/// connection may be closed, not destroyed, inside.
+/// Callbacks of a connection, called on the reactor's thread. A callback may
+/// close the connection but must not destroy it.
 class ConnectionHandler {
 public:
   virtual ~ConnectionHandler() = default;
@@ -26,10 +26,11 @@
 
 enum class ConnectionState : std::uint8_t { Connecting, Open, Closed };
 
-/// Reads whole frames and writes queued ones without blocking.
+/// Reads complete frames and writes queued frames without blocking.
 ///
-/// Invariants: frames are decoded in the order of their bytes; after close()
-/// neither the reactor nor the owner hears of the connection again.
+/// Invariants: frames are decoded in the order in which they were received;
+/// after close() the connection is not registered with the reactor and calls
+/// no further callbacks.
 class Connection final : public ACE_Event_Handler {
 public:
   Connection(ConnectionHandler &Handler, ACE_Reactor &Reactor,
@@ -39,19 +40,20 @@
   ACE_SOCK_Stream &stream() { return m_Stream; }
   ConnectionState state() const { return m_State; }
 
-  /// Registers with the reactor; false when it refuses.
+  /// Registers with the reactor. Returns false on failure.
   bool open();
-  /// Queues one frame.
+  /// Appends one frame to the output buffer; flush() sends it.
   void queue(const std::vector<std::uint8_t> &Frame);
-  /// Writes what the socket takes.
+  /// Writes as many bytes as the socket accepts.
   void flush();
   void close();
   std::size_t queuedBytes() const { return m_Out.size() - m_OutSent; }
 
-  /// Listening address of the peer; empty until it said Hello.
+  /// Listening address of the peer; empty until its Hello was received.
   const PeerAddress &peer() const { return m_Peer; }
   void setPeer(PeerAddress Peer) { m_Peer = std::move(Peer); }
 
+  /// Value of the transport's use counter at the last use.
   std::uint64_t lastUsed() const { return m_LastUsed; }
   void markUsed(std::uint64_t UseCounter) { m_LastUsed = UseCounter; }
 
@@ -74,7 +76,7 @@
   std::uint64_t m_LastUsed = 0;
   std::vector<std::uint8_t> m_In;
   std::vector<std::uint8_t> m_Out;
-  /// Bytes at the front of m_Out that the socket took already.
+  /// Bytes at the front of m_Out that were already written.
   std::size_t m_OutSent = 0;
 };
 
--- a/src/adapters/peer_tcp/decode.cpp
+++ b/src/adapters/peer_tcp/decode.cpp
@@ -1,5 +1,5 @@
-// Decoding half of the peer codec. Input is untrusted: it is verified first,
-// and absent fields read as empty.
+// Decodes frames from other daemons. The input is untrusted: it is verified
+// first, and absent fields are decoded as empty.
 #include "adapters/peer_tcp/codec.h"
 #include "adapters/peer_tcp/error.h"
 #include "adapters/peer_tcp/peer_generated.h"
@@ -10,6 +10,7 @@
 
 namespace {
 
+/// Limits on the number and the nesting depth of tables in one frame.
 constexpr flatbuffers::uoffset_t MaxVerifierTables = 1'000'000;
 constexpr flatbuffers::uoffset_t MaxVerifierDepth = 16;
 
@@ -281,7 +282,7 @@
 
 template <typename T> bool fieldsInRange(const T & /*Value*/) { return true; }
 
-/// Puts a message into the innermost variant that holds its type.
+/// Wraps a message in the variant that it belongs to, and that in PeerMessage.
 template <typename MessageVariant, typename T> WireMessage wrap(T Value) {
   return PeerMessage(MessageVariant(std::move(Value)));
 }
--- a/src/adapters/peer_tcp/encode.cpp
+++ b/src/adapters/peer_tcp/encode.cpp
@@ -1,4 +1,4 @@
-// Encoding half of the peer codec.
+// Encodes messages to other daemons.
 #include "adapters/peer_tcp/codec.h"
 #include "adapters/peer_tcp/peer_generated.h"
 
@@ -11,7 +11,7 @@
 using Builder = flatbuffers::FlatBufferBuilder;
 template <typename T> using Ref = flatbuffers::Offset<T>;
 
-/// The union member of a frame: its type tag and its table.
+/// The union field of a frame: type and table of its message.
 using Content = std::pair<wire::Message, Ref<void>>;
 
 template <typename Table> Content content(Ref<Table> Offset) {
@@ -239,7 +239,7 @@
   return content(wire::CreateBodyCancel(Out, Value.m_Stream));
 }
 
-/// Descends through nested variants to the message itself.
+/// Encodes the message inside nested variants.
 template <typename... Alternatives>
 Content encodeOne(Builder &Out, const std::variant<Alternatives...> &Value) {
   return std::visit([&](const auto &Inner) { return encodeOne(Out, Inner); },
--- a/src/adapters/peer_tcp/error.cpp
+++ b/src/adapters/peer_tcp/error.cpp
@@ -1,4 +1,4 @@
-// Texts of the peer transport's errors.
+// Messages of the peer transport's errors.
 #include "adapters/peer_tcp/error.h"
 
 #include <string>
@@ -20,7 +20,7 @@
     case TransportError::FrameTooLarge:
       return "peer frame exceeds the size limit";
     case TransportError::MalformedFrame:
-      return "peer frame does not verify";
+      return "peer frame failed verification";
     case TransportError::InvalidField:
       return "peer message has a field out of range";
     }
--- a/src/adapters/peer_tcp/error.h
+++ b/src/adapters/peer_tcp/error.h
@@ -12,9 +12,9 @@
   ListenFailed,
   /// A frame is longer than MaxFrameBytes.
   FrameTooLarge,
-  /// A frame does not verify as a message.
+  /// A frame failed verification.
   MalformedFrame,
-  /// A message's field is outside its range.
+  /// A field of a message is out of range.
   InvalidField,
 };
 
--- a/src/adapters/peer_tcp/tcp_transport.cpp
+++ b/src/adapters/peer_tcp/tcp_transport.cpp
@@ -1,4 +1,5 @@
-// The reactor thread: accepts, connects, and passes messages on.
+// The reactor thread: accepts and opens connections, sends and delivers
+// messages.
 #include "adapters/peer_tcp/tcp_transport.h"
 
 #include "adapters/peer_tcp/connection.h"
@@ -22,15 +23,16 @@
 
 namespace {
 
-/// Commands waiting for the reactor; beyond it messages are dropped.
+/// Maximum number of queued commands; further commands are dropped.
 constexpr std::size_t MaxCommands = 65'536;
-/// Handles beyond the connections: listener, notification, reactor.
+/// Handles besides the connections: listening socket, notification, reactor.
 constexpr std::size_t SpareHandles = 64;
 constexpr int ListenBacklog = 1024;
-/// An unanswered connection attempt is given up after this time.
+/// Time-out of a connection attempt: 1 s.
 const ACE_Time_Value ConnectTimeout(1, 0);
 
-/// What other threads ask of the reactor. An empty frame means reset.
+/// A request of another thread to the reactor's thread. An empty frame resets
+/// the connections to the peer.
 struct Command {
   PeerAddress m_Peer;
   std::vector<std::uint8_t> m_Frame;
@@ -121,7 +123,7 @@
 
   int handle_timeout(const ACE_Time_Value & /*Now*/,
                      const void *Argument) override {
-    // The connection may be gone; compare its address only.
+    // The connection may have been destroyed: use the pointer only as a key.
     const auto Found = m_Connections.find(
         static_cast<Connection *>(const_cast<void *>(Argument)));
     if (Found != m_Connections.end() &&
@@ -251,7 +253,6 @@
       Candidate->close();
   }
 
-  // Life span: process.
   const TcpTransportOptions m_Options;
   const PeerHandlers m_Handlers;
   ACE_Reactor m_Reactor;
@@ -259,18 +260,20 @@
   std::thread m_Thread;
   std::atomic<bool> m_Stopping{false};
 
-  // Shared between the callers of send() and the reactor.
+  // Shared between the reactor's thread and the callers of send() and reset().
   std::mutex m_Mutex;
   std::deque<Command> m_Commands;
   std::atomic<bool> m_NotifyPending{false};
 
-  // Only the reactor's thread touches these.
+  // Accessed only by the reactor's thread.
   std::unordered_map<Connection *, std::unique_ptr<Connection>> m_Connections;
-  /// The connection that send() uses for each peer; points into
+  /// The connection on which messages to each peer are sent; points into
   /// m_Connections.
   std::unordered_map<PeerAddress, Connection *> m_ByPeer;
-  /// Closed connections, destroyed when no handler of theirs is running.
+  /// Closed connections, destroyed after event handling, when none of their
+  /// handlers is running.
   std::vector<std::unique_ptr<Connection>> m_ClosedConnections;
+  /// Incremented at each use of a connection; orders connections by last use.
   std::uint64_t m_UseCounter = 0;
 };
 
--- a/src/adapters/peer_tcp/tcp_transport.h
+++ b/src/adapters/peer_tcp/tcp_transport.h
@@ -1,4 +1,5 @@
-// Peer transport over TCP: one reactor thread, length-framed FlatBuffers.
+// Peer transport over TCP: one reactor thread that exchanges length-prefixed
+// FlatBuffers messages.
 #pragma once
 
 #include "balsamwheel/detail/wire/peer.h"
@@ -12,12 +13,12 @@
 struct TcpTransportOptions {
   /// "host:port" to listen on.
   PeerAddress m_Listen;
-  /// "host:port" to state to peers; empty for m_Listen.
+  /// "host:port" advertised to peers; m_Listen if empty.
   PeerAddress m_Advertised;
-  /// Most open connections, in both directions together.
+  /// Maximum number of open connections, incoming and outgoing together.
   std::size_t m_MaxConnections = 2048;
-  /// Bytes waiting for one peer; messages beyond are dropped and the
-  /// connection is closed.
+  /// Maximum bytes queued for one peer. When more are queued, the next message
+  /// is dropped and the connection is closed.
   std::size_t m_MaxQueuedBytes = 8U << 20U;
 };
 
@@ -29,10 +30,12 @@
 
   /// Opens the listening socket and starts the reactor thread.
   std::error_code start();
+  /// Queues a message; delivery is not guaranteed. May be called from any
+  /// thread.
   void send(const PeerAddress &Receiver, PeerMessage Message);
-  /// Closes the connections with a peer; the next send opens a new one.
+  /// Closes all connections to a peer; the next send() opens a new one.
   void reset(const PeerAddress &Peer);
-  /// Ends the reactor thread. No handler runs afterwards.
+  /// Ends the reactor thread. No handler is called afterwards.
   void stop();
 
 private:
--- a/src/adapters/platform_http/platform_client.cpp
+++ b/src/adapters/platform_http/platform_client.cpp
@@ -1,4 +1,4 @@
-// Requests to the platform and the meaning of its answers.
+// Sends requests to the platform and classifies its answers.
 #include "adapters/platform_http/platform_client.h"
 
 #include "adapters/platform_http/table_codec.h"
@@ -18,7 +18,8 @@
 constexpr int StatusConflict = 409;
 constexpr int StatusUnavailable = 503;
 
-/// An answer in the right shape, or what is left when there is none.
+/// Decodes the rows of an answer. The status is \p StatusIfMalformed if the
+/// body cannot be decoded.
 TableReply decodeReply(TableStatus Status, const std::string &Body,
                        TableStatus StatusIfMalformed) {
   std::optional<std::vector<Row>> Rows = decodeRows(Body);
--- a/src/adapters/platform_http/platform_client.h
+++ b/src/adapters/platform_http/platform_client.h
@@ -1,4 +1,4 @@
-// The platform's table service and object store over HTTP.
+// HTTP client of the platform's table service and object store.
 #pragma once
 
 #include "adapters/http_client/transfer_loop.h"
@@ -15,16 +15,18 @@
   std::string m_Address;
   /// Name of this daemon's instance, sent with every request.
   std::string m_Instance;
-  /// No answer within this time leaves a commit ambiguous.
+  /// Time-out of each request. A commit that was sent but not answered within
+  /// this time is ambiguous.
   Duration m_Timeout = std::chrono::seconds(2);
   long m_MaxConnections = 4;
 };
 
-/// Callbacks run on the client's thread, exactly once each.
+/// Each callback is called exactly once, on the client's thread (on the calling
+/// thread if the queue is full).
 class PlatformClient {
 public:
   using TableCallback = std::function<void(TableReply Reply)>;
-  /// Receives none when the object is absent or cannot be reached.
+  /// Receives none if the object does not exist or could not be read.
   using ObjectCallback = std::function<void(std::optional<std::string> Object)>;
   using StoredCallback = std::function<void(bool Stored)>;
 
@@ -46,11 +48,11 @@
   http_client::TransferLoop m_Loop;
 };
 
-/// What became of a read, judged from its transfer.
+/// Derives the result of a read from its transfer.
 TableReply classifyRead(const http_client::TransferResult &Result);
 
-/// What became of a commit. Whatever may have reached the table without a
-/// plain answer is ambiguous.
+/// Derives the result of a commit from its transfer. A commit that may have
+/// reached the table is ambiguous unless the answer is definite.
 TableReply classifyCommit(const http_client::TransferResult &Result);
 
 } // namespace balsamwheel::platform_http
--- a/src/adapters/platform_http/table_codec.cpp
+++ b/src/adapters/platform_http/table_codec.cpp
@@ -1,4 +1,4 @@
-// Conversion between table types and JSON.
+// Converts table types to and from JSON.
 #include "adapters/platform_http/table_codec.h"
 
 #include <nlohmann/json.hpp>
--- a/src/adapters/platform_http/table_codec.h
+++ b/src/adapters/platform_http/table_codec.h
@@ -1,4 +1,4 @@
-// JSON of the platform's table service.
+// JSON encoding for the platform's table service.
 #pragma once
 
 #include "balsamwheel/detail/platform/table.h"
@@ -15,9 +15,9 @@
 /// Body of POST /v1/commit.
 std::string encodeCommit(const Transaction &Commit);
 
-/// Reads {"rows": [...]}; a row may lack its value.
+/// Decodes {"rows": [...]}. The value of a row is optional.
 ///
-/// \returns none when the text has another shape.
+/// \returns none if the text does not have this form.
 std::optional<std::vector<Row>> decodeRows(const std::string &Text);
 
 } // namespace balsamwheel::platform_http
--- a/src/adapters/target_http/announcement.cpp
+++ b/src/adapters/target_http/announcement.cpp
@@ -1,4 +1,4 @@
-// Parsing of announcements.
+// Parses announcements.
 #include "adapters/target_http/announcement.h"
 
 #include "adapters/http_server/listen_address.h"
@@ -11,9 +11,10 @@
 
 using Json = nlohmann::json;
 
+/// Upper bound for slots and connections.
 constexpr std::int64_t MaxCount = 100'000;
 
-/// 0 for anything but a positive number within bounds.
+/// Returns 0 unless the value is an integer from 1 to MaxCount.
 std::uint32_t readCount(const Json &Value) {
   const auto Count = Value.get<std::int64_t>();
   return Count > 0 && Count <= MaxCount ? static_cast<std::uint32_t>(Count) : 0;
@@ -39,15 +40,16 @@
 parseAnnouncement(const std::string &Body) {
   const Json Document = Json::parse(Body, nullptr, /*allow_exceptions=*/false);
   if (!Document.is_object())
-    return AnnouncementError{"the body is no JSON object"};
+    return AnnouncementError{"the body is not a JSON object"};
   try {
     Announcement Result = fromJson(Document);
     if (Result.m_Service.value().empty())
-      return AnnouncementError{"service: is empty"};
+      return AnnouncementError{"service: must not be empty"};
     if (Result.m_Leaving)
       return Result;
     if (!http_server::parseListenAddress(Result.m_Address))
-      return AnnouncementError{"address: is no numeric host:port"};
+      return AnnouncementError{
+          "address: must be a numeric IPv4 address and a port"};
     if (Result.m_Slots == 0 || Result.m_Connections == 0)
       return AnnouncementError{"slots and connections: must be at least 1"};
     return Result;
--- a/src/adapters/target_http/announcement.h
+++ b/src/adapters/target_http/announcement.h
@@ -1,4 +1,4 @@
-// What a target says about itself.
+// The announcement that a target sends about itself.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -9,17 +9,20 @@
 
 namespace balsamwheel::target_http {
 
-/// A sign of life, repeated each second.
+/// A heartbeat of the target with its current state, repeated every second.
 struct Announcement {
   ServiceName m_Service;
-  /// "host:port" where it takes orders.
+  /// "host:port" where the target accepts orders.
   std::string m_Address;
+  /// Number of requests that the target processes at the same time.
   std::uint32_t m_Slots = 0;
+  /// Maximum number of connections to the target.
   std::uint32_t m_Connections = 0;
-  /// Just started, or lost its warmth.
+  /// The target has just started or has lost its cached state.
   bool m_Cold = false;
+  /// The target rejects requests with an outdated epoch.
   bool m_ChecksFences = false;
-  /// Wants no more work.
+  /// The target accepts no further orders.
   bool m_Leaving = false;
 
   bool operator==(const Announcement &) const = default;
@@ -29,7 +32,7 @@
   std::string m_Reason;
 };
 
-/// Reads the JSON body of an announcement.
+/// Parses the JSON body of an announcement.
 std::variant<Announcement, AnnouncementError>
 parseAnnouncement(const std::string &Body);
 
--- a/src/adapters/target_http/order.cpp
+++ b/src/adapters/target_http/order.cpp
@@ -1,4 +1,4 @@
-// Headers of orders and the judgement of their ends.
+// Builds the headers of orders and classifies the results of their transfers.
 #include "adapters/target_http/order.h"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr int StatusConflict = 409;
 constexpr int StatusUnavailable = 503;
 
-/// Headers that concern one connection only, or that libcurl sets.
+/// Hop-by-hop headers, and headers that libcurl sets itself.
 constexpr std::array<const char *, 10> HopByHopHeaders{
     "Connection", "Keep-Alive",    "Proxy-Connection", "Transfer-Encoding",
     "TE",         "Trailer",       "Upgrade",          "Host",
@@ -41,7 +41,7 @@
       [Name](const char *Other) { return equalsIgnoreCase(Name, Other); });
 }
 
-/// A line break would let a value forge further headers.
+/// Guards against header injection through line breaks in a value.
 bool isOneLine(std::string_view Text) {
   return Text.find_first_of(std::string_view("\r\n\0", 3)) ==
          std::string_view::npos;
@@ -54,7 +54,8 @@
   std::string Line;
   Line.reserve(Name.size() + Value.size() + 2);
   Line.append(Name);
-  // libcurl reads "Name:" as a wish to leave the header out.
+  // libcurl treats "Name:" as an instruction to omit the header, and "Name;" as
+  // a header with an empty value.
   Line.append(Value.empty() ? ";" : ": ").append(Value);
   Outgoing.m_Headers.push_back(std::move(Line));
 }
--- a/src/adapters/target_http/order.h
+++ b/src/adapters/target_http/order.h
@@ -1,4 +1,4 @@
-// Orders to a target as HTTP requests, and the meaning of its answers.
+// Converts orders to HTTP requests, and the results of these to order ends.
 #pragma once
 
 #include "adapters/http_client/transfer.h"
@@ -8,13 +8,13 @@
 
 namespace balsamwheel::target_http {
 
-/// Builds the request of an order, apart from the callbacks.
+/// Builds the HTTP request for an order; the caller adds the callbacks.
 ///
 /// \param Address "host:port" of the target.
 http_client::Transfer makeOrderTransfer(const std::string &Address,
                                         StartOrder Order);
 
-/// How an order ended, judged from its transfer.
+/// Derives the end of an order from the result of its transfer.
 OrderEnd classifyOrderEnd(const http_client::TransferResult &Result);
 
 } // namespace balsamwheel::target_http
--- a/src/adapters/target_http/target_link.cpp
+++ b/src/adapters/target_http/target_link.cpp
@@ -1,4 +1,4 @@
-// Announcements in, orders out.
+// Receives announcements, sends orders and watches the target.
 #include "adapters/target_http/target_link.h"
 
 #include "adapters/target_http/order.h"
@@ -19,9 +19,11 @@
 
 namespace {
 
-/// Connections beside those for orders: grants, cancels, load reports.
+/// Connections for grants, cancellations and load reports, in addition to those
+/// for orders.
 constexpr long ControlConnections = 2;
-/// Control calls waiting; a start may grant all shards of a service at once.
+/// Maximum number of queued control requests; at a start, all shards of a
+/// service may be granted at once.
 constexpr std::size_t ControlQueueSize = std::size_t{1} << 16U;
 
 std::string escapePathSegment(const std::string &Text) {
@@ -100,7 +102,7 @@
     }
   }
   if (Ready) {
-    // Control requests share the cap with orders.
+    // Control requests count against the target's connection limit too.
     m_Loop.setMaxConnections(std::max<long>(
         1, static_cast<long>(Received.m_Connections) - ControlConnections));
     m_Handlers.m_OnReady(Received);
--- a/src/adapters/target_http/target_link.h
+++ b/src/adapters/target_http/target_link.h
@@ -1,4 +1,5 @@
-// The link with the local target: its announcements and the orders to it.
+// The connection to the local target: receives its announcements and sends
+// orders, grants and cancellations to it.
 #pragma once
 
 #include "adapters/http_client/transfer_loop.h"
@@ -20,16 +21,19 @@
 namespace balsamwheel::target_http {
 
 struct TargetLinkOptions {
-  /// "host:port" where the target announces itself.
+  /// "host:port" where announcements are received.
   std::string m_Listen;
-  /// A target silent for this long is gone.
+  /// A target that sends no announcement for this time is treated as having
+  /// left.
   Duration m_SilenceLimit = std::chrono::seconds(3);
-  /// How often the target's own load report is read.
+  /// Interval at which the target's load report is read.
   Duration m_LoadPeriod = std::chrono::seconds(1);
+  /// Time-out of grants, cancellations and load reports.
   Duration m_ControlTimeout = std::chrono::seconds(1);
 };
 
-/// What the target last said about its load; late, so a hint only.
+/// The load that the target last reported; a hint only, because it is outdated
+/// when it arrives.
 struct LoadHint {
   double m_Load = 0;
   bool m_Healthy = true;
@@ -37,8 +41,9 @@
 
 /// Called on the link's threads.
 struct TargetHandlers {
-  /// The target is ready, or ready anew after it turned cold.
+  /// The target was announced, has changed, or has become cold.
   std::function<void(const Announcement &)> m_OnReady;
+  /// The target announced that it leaves, or its announcements stopped.
   std::function<void()> m_OnLeaving;
   std::function<void(OrderId, HttpAnswer Head)> m_OnAnswering;
   std::function<void(OrderReport)> m_OnEnd;
@@ -48,7 +53,7 @@
 /// Satisfies TargetClient.
 class TargetLink {
 public:
-  /// \p MakePipe carries the rest of long answers.
+  /// \param MakePipe creates the pipes for the remainders of long answers.
   TargetLink(TargetLinkOptions Options, TargetHandlers Handlers,
              http_client::PipeFactory MakePipe);
   ~TargetLink();
@@ -56,9 +61,9 @@
   TargetLink &operator=(const TargetLink &) = delete;
 
   std::error_code start();
-  /// Sends an order; its end is reported exactly once.
+  /// Sends an order. Its end is reported exactly once.
   ///
-  /// \param Upload the rest of a long request body, or null.
+  /// \param Upload the remainder of a long request body, or null.
   void startOrder(StartOrder Order, runtime::BodyPipePtr Upload);
   void cancelOrder(OrderId Order);
   void grant(const GrantEpoch &Grant);
@@ -73,7 +78,8 @@
                   const http_client::TransferResult &Result);
   void sendControl(std::string Method, std::string Url, std::string Body);
   void readLoad();
-  /// Watches for silence and reads the load report.
+  /// Body of the watcher thread: checks for missing announcements and reads the
+  /// load report.
   void watch();
   void checkSilence();
   std::string address() const;
@@ -84,13 +90,13 @@
   mutable std::mutex m_Mutex;
   std::condition_variable m_StopRequested;
   bool m_Stopping = false;
-  /// None while no target is known.
+  /// The last announcement; none while there is no target.
   std::optional<Announcement> m_Current;
   TimePoint m_LastAnnouncedAt;
-  /// Carries orders.
+  /// Sends orders.
   http_client::TransferLoop m_Loop;
-  /// Carries grants, cancels and load reports, so that the many grants of a
-  /// start take no connections from orders.
+  /// Sends grants and cancellations and reads load reports. Separate from
+  /// orders, so that the many grants at a start do not use their connections.
   http_client::TransferLoop m_ControlLoop;
   http_server::ControlServer m_Server;
   std::thread m_Watcher;
--- a/tests/fuzz/frame_decoder.cpp
+++ b/tests/fuzz/frame_decoder.cpp
@@ -1,4 +1,4 @@
-// libFuzzer entry: the decoder of frames between daemons.
+// libFuzzer target for the decoder of frames between daemons.
 #include "adapters/peer_tcp/codec.h"
 
 #include <cstdlib>
@@ -7,12 +7,12 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *Data,
                                       std::size_t Size) {
-  // A frame of its own gives the bytes the alignment of a received frame.
+  // Received frames are aligned, so the input is copied to an aligned buffer.
   const std::vector<std::uint8_t> Frame(Data, Data + Size);
   WireMessage First;
   if (decode(Frame, First))
     return 0;
-  // What was accepted must survive another round.
+  // A decoded message must encode and decode to the same type again.
   WireMessage Second;
   if (decode(encode(First), Second) || First.index() != Second.index())
     std::abort();
--- a/tests/fuzz/request_parser.cpp
+++ b/tests/fuzz/request_parser.cpp
@@ -1,4 +1,4 @@
-// libFuzzer entry: the check of callers' request heads.
+// libFuzzer target for the validation of callers' request heads.
 #include "adapters/caller_http/request_parser.h"
 
 #include <cstdlib>
@@ -24,7 +24,7 @@
   return Result;
 }
 
-/// Takes the text up to the next line break off the front.
+/// Removes the first line from \p Rest and returns it.
 std::string takeLine(std::string_view &Rest) {
   const std::size_t End = Rest.find('\n');
   const std::string Line(Rest.substr(0, End));
--- a/tests/unit-caller-server.cpp
+++ b/tests/unit-caller-server.cpp
@@ -1,4 +1,5 @@
-// The interface for callers: answers, refusals, long bodies, cut answers.
+// Tests the HTTP server for callers: answers, refusals, streamed bodies and
+// truncated answers.
 #include "adapters/caller_http/caller_server.h"
 #include "adapters/http_client/transfer_loop.h"
 #include "runtime/boot_clock.h"
@@ -27,7 +28,7 @@
   return Result;
 }
 
-/// A server whose requests are answered by a function of the test.
+/// A server whose requests are handled by a function of the test.
 class Fixture {
 public:
   /// Runs on the server's thread.
@@ -117,7 +118,8 @@
   return {};
 }
 
-/// Writes a body of \p Size bytes into a pipe from a thread of its own.
+/// Writes \p Size bytes to a pipe on a new thread, then finishes the pipe, or
+/// fails it if \p Truncated is set.
 std::thread writeBody(runtime::BodyPipePtr Pipe, std::size_t Size,
                       bool Truncated) {
   return std::thread([Pipe, Size, Truncated] {
@@ -137,7 +139,7 @@
 
 } // namespace
 
-TEST_CASE("an answer passes with status, headers, owner and request id") {
+TEST_CASE("an answer is sent with status, headers, owner and request id") {
   Fixture Setup([](CallerServer &Server, IncomingRequest Request) {
     CHECK(Request.m_Http.m_Method == "POST");
     CHECK(Request.m_Http.m_Path == "/documents/a%20b?x=1");
@@ -159,7 +161,7 @@
   CHECK(headerOf(Result, "Connection").empty());
 }
 
-TEST_CASE("an answer from another thread wakes the connection") {
+TEST_CASE("an answer from another thread resumes the connection") {
   std::thread AnsweringThread;
   Fixture Setup(
       [&AnsweringThread](CallerServer &Server, IncomingRequest Request) {
@@ -172,7 +174,7 @@
   AnsweringThread.join();
 }
 
-TEST_CASE("other outcomes come as JSON with the time to wait") {
+TEST_CASE("outcomes other than done are sent as JSON with the retry time") {
   Fixture Setup([](CallerServer &Server, IncomingRequest Request) {
     AnswerCaller Answer;
     Answer.m_Request = Request.m_Handle;
@@ -194,7 +196,7 @@
   CHECK(Setup.get("/documents/lost").m_Answer.m_Status == 504);
 }
 
-TEST_CASE("bad input is answered here and the connection stays usable") {
+TEST_CASE("invalid requests are refused and the connection stays usable") {
   Fixture Setup([](CallerServer &Server, IncomingRequest Request) {
     Server.answer(makeAnswer(Request.m_Handle, "ok"), nullptr);
   });
@@ -213,14 +215,14 @@
   CHECK(Setup.get("/documents/1").m_Answer.m_Status == 201);
 }
 
-TEST_CASE("a core without room makes callers wait") {
+TEST_CASE("a request that the node has no room for gets the outcome wait") {
   Fixture Setup({});
   const TransferResult Result = Setup.get("/documents/1");
   CHECK(Result.m_Answer.m_Status == 503);
   CHECK(headerOf(Result, "Balsamwheel-Outcome") == "wait");
 }
 
-TEST_CASE("a long answer streams whole, a cut one is no answer") {
+TEST_CASE("a long answer is streamed completely, a truncated one is aborted") {
   constexpr std::size_t Size = 2'000'000;
   for (const bool Truncated : {false, true}) {
     std::thread Writer;
@@ -244,7 +246,8 @@
   }
 }
 
-TEST_CASE("an answer whose rest is gone aborts the connection") {
+TEST_CASE(
+    "an answer without the pipe for its remainder aborts the connection") {
   Fixture Setup([](CallerServer &Server, IncomingRequest Request) {
     AnswerCaller Answer = makeAnswer(Request.m_Handle, "ab");
     Answer.m_Http.m_BodyLength = 100'000;
@@ -254,7 +257,7 @@
   CHECK(Setup.get("/documents/1").m_End == TransferEnd::Broken);
 }
 
-TEST_CASE("a long request body is handed over early and streams") {
+TEST_CASE("a long request body is passed on early and streamed") {
   std::promise<std::string> Received;
   std::thread Reader;
   Fixture Setup({});
@@ -281,7 +284,7 @@
   CHECK(Received.get_future().get() == std::string(3'000'000, 'u'));
 }
 
-TEST_CASE("an answer before the end of an upload still arrives") {
+TEST_CASE("an answer before the end of an upload is received") {
   Fixture Setup([](CallerServer &Server, IncomingRequest Request) {
     AnswerCaller Answer;
     Answer.m_Request = Request.m_Handle;
@@ -297,7 +300,7 @@
   CHECK(Setup.m_RequestCount == 1);
 }
 
-TEST_CASE("stopping aborts requests that wait") {
+TEST_CASE("stopping aborts waiting requests") {
   std::promise<void> Arrived;
   Fixture Setup([&Arrived](CallerServer &, const IncomingRequest &) {
     Arrived.set_value();
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -1,4 +1,5 @@
-// The peer codec: whole messages come back, damaged frames are refused.
+// Tests the peer codec: messages are unchanged by a round trip, corrupted
+// frames are rejected.
 #include "adapters/peer_tcp/codec.h"
 #include "adapters/peer_tcp/error.h"
 
@@ -13,8 +14,8 @@
 
 namespace {
 
-// Generators for the types of message fields. None yields the default value
-// always, so that a field which the codec forgets is noticed.
+// Generators for the types of message fields. No generator always yields the
+// default value, so that a field that the codec omits is detected.
 template <typename T> T any() { return *rc::gen::nonZero<T>(); }
 
 template <> bool any<bool>() { return *rc::gen::arbitrary<bool>(); }
@@ -169,7 +170,7 @@
 
 template <> BodyCancel anyMessage() { return {any<std::uint64_t>()}; }
 
-/// Encodes and decodes one message and compares every field.
+/// Encodes and decodes one message and compares all fields.
 template <typename MessageVariant, typename Message>
 bool roundTripKeepsFields() {
   const auto Sent = anyMessage<Message>();
@@ -202,19 +203,19 @@
 
 } // namespace
 
-TEST_CASE("every control message keeps every field") {
+TEST_CASE("a round trip preserves all fields of all control messages") {
   checkMessages<ControlMessage>();
 }
 
-TEST_CASE("every request message keeps every field") {
+TEST_CASE("a round trip preserves all fields of all request messages") {
   checkMessages<RequestMessage>();
 }
 
-TEST_CASE("every body message keeps every field") {
+TEST_CASE("a round trip preserves all fields of all body messages") {
   checkMessages<BodyMessage>();
 }
 
-TEST_CASE("a damaged frame is refused or decodes to some message") {
+TEST_CASE("a corrupted frame is rejected or decodes to a valid message") {
   CHECK(rc::check("one byte changed", [] {
     auto Frame =
         encode(PeerMessage(RequestMessage(anyMessage<ForwardRequest>())));
@@ -224,7 +225,7 @@
     if (!decode(Frame, Decoded))
       RC_ASSERT(!encode(Decoded).empty());
   }));
-  CHECK(rc::check("cut short", [] {
+  CHECK(rc::check("truncated", [] {
     const auto Frame =
         encode(PeerMessage(RequestMessage(anyMessage<OutcomeQuery>())));
     const auto Length = *rc::gen::inRange<std::size_t>(0, 8);
@@ -234,7 +235,7 @@
   }));
 }
 
-TEST_CASE("fields out of range are refused") {
+TEST_CASE("fields out of range are rejected") {
   ForwardReply Reply;
   Reply.m_Outcome = static_cast<Outcome>(200);
   WireMessage Decoded;
@@ -247,7 +248,7 @@
         TransportError::InvalidField);
 }
 
-TEST_CASE("an empty frame is refused") {
+TEST_CASE("an empty frame is rejected") {
   WireMessage Decoded;
   CHECK(decode({}, Decoded) == TransportError::MalformedFrame);
 }
--- a/tests/unit-peer-transport.cpp
+++ b/tests/unit-peer-transport.cpp
@@ -1,4 +1,4 @@
-// The transport between daemons, over real sockets on loopback.
+// Tests the TCP transport between daemons over loopback sockets.
 #include "adapters/peer_tcp/error.h"
 #include "adapters/peer_tcp/tcp_transport.h"
 
@@ -17,7 +17,7 @@
 
 constexpr std::chrono::seconds TestTimeout{10};
 
-/// Finds a port that is free at this moment.
+/// Returns a loopback address whose port is currently unused.
 PeerAddress freeAddress() {
   ACE_SOCK_Acceptor Probe;
   ACE_INET_Addr Any("127.0.0.1:0");
@@ -28,7 +28,7 @@
   return PeerAddress("127.0.0.1:" + std::to_string(Bound.get_port_number()));
 }
 
-/// Collects what a transport hands over.
+/// Collects the messages and lost peers that a transport reports.
 class Inbox {
 public:
   PeerHandlers handlers() {
@@ -76,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("messages arrive in order and name their sender") {
+TEST_CASE("messages arrive in order with the address of their sender") {
   Inbox Left;
   Inbox Right;
   const PeerAddress LeftAddress = freeAddress();
@@ -102,7 +102,7 @@
   B.stop();
 }
 
-TEST_CASE("a long message crosses in one piece") {
+TEST_CASE("a long message arrives complete") {
   Inbox Left;
   Inbox Right;
   const PeerAddress RightAddress = freeAddress();
@@ -119,7 +119,8 @@
   CHECK(Chunk.m_Bytes == Body);
 }
 
-TEST_CASE("an unreachable peer is reported, and reached once it listens") {
+TEST_CASE(
+    "an unreachable peer is reported lost, then reached once it listens") {
   Inbox Left;
   Inbox Right;
   const PeerAddress RightAddress = freeAddress();
@@ -152,7 +153,7 @@
   CHECK(nonceOf(Right.m_Messages.at(1).second) == 2);
 }
 
-TEST_CASE("a bad listening address is an error") {
+TEST_CASE("an invalid listening address is an error") {
   Inbox Unused;
   TcpTransport A({.m_Listen = PeerAddress("nonsense")}, Unused.handlers());
   CHECK(A.start() == TransportError::BadAddress);
--- a/tests/unit-platform-client.cpp
+++ b/tests/unit-platform-client.cpp
@@ -1,4 +1,5 @@
-// Table transactions over HTTP and the judgement of lost answers.
+// Tests the platform client: table transactions, objects, and the status of
+// commits without a definite answer.
 #include "adapters/platform_http/platform_client.h"
 #include "adapters/platform_http/table_codec.h"
 #include "support/raw_server.h"
@@ -37,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("a commit says what it wants in the documented form") {
+TEST_CASE("a commit is encoded in the documented JSON form") {
   const auto Body = nlohmann::json::parse(encodeCommit(makeCommit()));
   CHECK(Body["write_id"] == "18000000000000000001");
   CHECK(Body["conditions"][0]["version"] == 3);
@@ -45,14 +46,14 @@
   CHECK(Body["writes"][1]["value"].is_null());
 }
 
-TEST_CASE("rows of another shape are refused") {
+TEST_CASE("malformed rows are rejected") {
   CHECK_FALSE(decodeRows("[]").has_value());
   CHECK_FALSE(decodeRows("{\"rows\":[{\"key\":1}]}").has_value());
   CHECK_FALSE(decodeRows("{\"rows\":[").has_value());
   CHECK(decodeRows("{\"rows\":[]}")->empty());
 }
 
-TEST_CASE("a commit's answer decides its status") {
+TEST_CASE("the HTTP status of the answer gives the status of a commit") {
   const std::string Rows = R"({"rows":[{"key":"a","version":4}]})";
   const TableReply Ok = commitWith({httpAnswer("200 OK", Rows)});
   CHECK(Ok.m_Status == TableStatus::Ok);
@@ -74,7 +75,7 @@
         TableStatus::Ambiguous);
 }
 
-TEST_CASE("a refused connection leaves the table untouched") {
+TEST_CASE("a commit on a refused connection is unavailable, not ambiguous") {
   std::string ClosedAddress;
   {
     RawServer Server([](const std::string &, int) { return RawReply{}; });
@@ -83,7 +84,7 @@
   CHECK(commit(ClosedAddress).m_Status == TableStatus::Unavailable);
 }
 
-TEST_CASE("a read names keys and prefixes and returns rows") {
+TEST_CASE("a read sends keys and prefixes and returns rows") {
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer(
         "200 OK", R"({"rows":[{"key":"a","version":0,"value":""}]})")};
--- a/tests/unit-request-parser.cpp
+++ b/tests/unit-request-parser.cpp
@@ -1,4 +1,4 @@
-// The head of a caller's request: classification and refusals.
+// Tests the validation and classification of request heads.
 #include "adapters/caller_http/request_parser.h"
 
 #include <doctest/doctest.h>
@@ -70,7 +70,7 @@
   CHECK(Request.m_TimeLeft == std::chrono::milliseconds(700));
 }
 
-TEST_CASE("headers go before path and query") {
+TEST_CASE("headers take precedence over path and query") {
   RequestHead Head = makeHead("GET", "/elsewhere");
   Head.m_Headers = {{"balsamwheel-service", "orders"},
                     {"BALSAMWHEEL-KEY", "k2"},
@@ -90,7 +90,8 @@
   CHECK(Request.m_BodyLength == 1000);
 }
 
-TEST_CASE("the longest pattern wins, else the first class") {
+TEST_CASE(
+    "the longest matching pattern selects the class, else the first class") {
   CHECK(accept(makeHead("GET", "/orders/now/1")).m_Meta.m_Class ==
         ClassName("place"));
   CHECK(accept(makeHead("GET", "/orders/1")).m_Meta.m_Class ==
@@ -99,17 +100,17 @@
         ClassName("read"));
 }
 
-TEST_CASE("a caller cannot ask for more than the class's deadline") {
+TEST_CASE("a deadline beyond that of the class is reduced to it") {
   RequestHead Head = makeHead("POST", "/orders/7");
   Head.m_Headers = {{"Balsamwheel-Deadline-Ms", "90000"}};
   CHECK(accept(Head).m_TimeLeft == std::chrono::milliseconds(700));
 }
 
-TEST_CASE("a service that is not divided by key needs none and keeps none") {
+TEST_CASE("a service that is not divided by key ignores keys") {
   CHECK(accept(makeHead("GET", "/documents/a")).m_Meta.m_Key.empty());
 }
 
-TEST_CASE("bad input is refused with a reason") {
+TEST_CASE("invalid requests are refused with a reason") {
   const Refusal Unknown = refuse(makeHead("GET", "/nothing/1"));
   CHECK(Unknown.m_Status == 404);
   CHECK((Unknown.m_Reason == Reason::UnknownService));
@@ -147,7 +148,7 @@
   }
 }
 
-TEST_CASE("without a configuration callers are told to wait") {
+TEST_CASE("without a configuration requests get the outcome wait") {
   const auto Result =
       parseRequest(makeHead("GET", "/orders/1"), nullptr, GeneratedId);
   REQUIRE(std::holds_alternative<Refusal>(Result));
@@ -155,7 +156,7 @@
   CHECK(std::get<Refusal>(Result).m_Status == 503);
 }
 
-TEST_CASE("any headers give a request within bounds or a refusal") {
+TEST_CASE("arbitrary headers give a request within bounds or a refusal") {
   const Config ActiveConfig = makeConfig();
   CHECK(rc::check(
       [&ActiveConfig](const std::string &Target, const std::string &Id,
--- a/tests/unit-target-link.cpp
+++ b/tests/unit-target-link.cpp
@@ -1,4 +1,5 @@
-// Announcements, orders and the truth about how orders ended.
+// Tests the link to the target: announcements, orders and the reported ends of
+// orders.
 #include "adapters/target_http/order.h"
 #include "adapters/target_http/target_link.h"
 #include "runtime/boot_clock.h"
@@ -33,7 +34,7 @@
   return Order;
 }
 
-/// A link whose target is a scripted server; collects what it reports.
+/// A link to a scripted target server; collects the link's reports.
 class Fixture {
 public:
   explicit Fixture(RawServer::Script Answer)
@@ -44,7 +45,7 @@
              R"(","slots":10,"connections":130,"cold":false})");
   }
 
-  /// Posts an announcement and returns the status.
+  /// Posts an announcement and returns the HTTP status.
   int announce(const std::string &Body) {
     http_client::TransferLoop Loop({});
     http_client::Transfer Outgoing;
@@ -99,7 +100,7 @@
 
 } // namespace
 
-TEST_CASE("an order carries the caller's headers and the fence") {
+TEST_CASE("an order carries the caller's headers, shard and epoch") {
   Fixture Setup(alwaysReply({httpAnswer("200 OK", "done")}));
   const OrderReport Report = Setup.perform(makeOrder());
   CHECK(Report.m_Order == OrderId(9));
@@ -116,7 +117,7 @@
     CHECK_MESSAGE(Sent.find(Text) == std::string::npos, Text);
 }
 
-TEST_CASE("a refusal is believed only with its header") {
+TEST_CASE("a refusal counts as not run only with status and header") {
   CHECK(orderEndAfter(
             {httpAnswer("503 Busy", "", "Balsamwheel-Not-Run: true\r\n")}) ==
         OrderEnd::Shed);
@@ -129,7 +130,7 @@
         OrderEnd::Answered);
 }
 
-TEST_CASE("an order without a whole answer failed or was aborted") {
+TEST_CASE("an order without a complete answer is failed or aborted") {
   CHECK(orderEndAfter({.m_Bytes = {}, .m_Close = true}) == OrderEnd::Failed);
   CHECK(orderEndAfter({"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
                        true}) == OrderEnd::Failed);
@@ -156,7 +157,7 @@
       "DELETE /v1/orders/r%2F1 HTTP/1.1\r\n"));
 }
 
-TEST_CASE("without a target nothing is sent") {
+TEST_CASE("without a target no order is sent") {
   Fixture Setup(alwaysReply({httpAnswer("200 OK", "")}));
   CHECK(Setup.announce(R"({"service":"orders","leaving":true})") == 200);
   CHECK(Setup.m_LeftCount == 1);
@@ -164,7 +165,7 @@
   CHECK(Setup.m_Server.requests().empty());
 }
 
-TEST_CASE("a target is ready once, and anew when it changes or turns cold") {
+TEST_CASE("a target is reported ready once, and again when it turns cold") {
   Fixture Setup(alwaysReply({httpAnswer("200 OK", "")}));
   CHECK(Setup.m_ReadyCount == 1);
   const std::string Warm = R"({"service":"orders","address":")" +
@@ -182,7 +183,7 @@
   CHECK(Setup.m_ReadyCount == 2);
 }
 
-TEST_CASE("a bad announcement is refused with a reason") {
+TEST_CASE("an invalid announcement is refused with status 400") {
   Fixture Setup(alwaysReply({httpAnswer("200 OK", "")}));
   for (const char *Body :
        {"", "[]", "{}", R"({"service":"","leaving":true})",
--- a/tests/unit-transfer-loop.cpp
+++ b/tests/unit-transfer-loop.cpp
@@ -1,4 +1,5 @@
-// Requests through libcurl: whole, cut, late, cancelled, never repeated.
+// Tests the transfer loop: complete, truncated, late and cancelled transfers,
+// and that no request is sent twice.
 #include "adapters/http_client/transfer_loop.h"
 #include "runtime/boot_clock.h"
 #include "support/raw_server.h"
@@ -15,7 +16,7 @@
 
 constexpr auto TestTimeout = std::chrono::seconds(10);
 
-/// Hands a transfer over and waits for its end.
+/// Submits a transfer and waits for its end.
 TransferResult perform(TransferLoop &Loop, Transfer Outgoing) {
   auto Promise = std::make_shared<std::promise<TransferResult>>();
   auto Future = Promise->get_future();
@@ -40,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("a whole answer arrives with status, headers and hash") {
+TEST_CASE("a complete answer is reported with status and hash") {
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer("201 Created", "hello", "X-A: b\r\n")};
   });
@@ -63,9 +64,10 @@
   CHECK(Sent.ends_with("\r\n\r\nbody"));
 }
 
-TEST_CASE("a request is not repeated on a connection that dies") {
-  // The first request of a connection is answered, the second one closes it
-  // without a byte: libcurl alone would repeat it on a new connection.
+TEST_CASE("a request is not retried when its connection is closed") {
+  // The server answers the first request on a connection and closes the
+  // connection without a byte on the second one, which libcurl by itself would
+  // retry on a new connection.
   for (const std::string Method : {"GET", "POST", "DELETE"}) {
     std::vector<int> Served(100, 0);
     RawServer Server([&Served](const std::string &, int Connection) {
@@ -86,7 +88,7 @@
   }
 }
 
-TEST_CASE("a refused connection means that nothing was sent") {
+TEST_CASE("a refused connection ends as not sent") {
   std::string ClosedAddress;
   {
     RawServer Server([](const std::string &, int) { return RawReply{}; });
@@ -97,7 +99,7 @@
         TransferEnd::NotSent);
 }
 
-TEST_CASE("a passed deadline sends nothing") {
+TEST_CASE("a request whose deadline has passed is not sent") {
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer("200 OK", "x")};
   });
@@ -108,7 +110,7 @@
   CHECK(Server.requests().empty());
 }
 
-TEST_CASE("silence until the deadline is no answer") {
+TEST_CASE("a server that does not answer by the deadline is a time-out") {
   RawServer Server([](const std::string &, int) {
     return RawReply{.m_Bytes = {}, .m_Silent = true};
   });
@@ -118,7 +120,7 @@
   CHECK(perform(Loop, std::move(Outgoing)).m_End == TransferEnd::TimedOut);
 }
 
-TEST_CASE("an answer that is cut is no answer") {
+TEST_CASE("a truncated answer ends as broken") {
   RawServer Server([](const std::string &, int) {
     return RawReply{"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true};
   });
@@ -127,7 +129,7 @@
         TransferEnd::Broken);
 }
 
-TEST_CASE("a transfer can be cancelled") {
+TEST_CASE("a cancelled transfer is reported as cancelled") {
   RawServer Server([](const std::string &, int) {
     return RawReply{.m_Bytes = {}, .m_Silent = true};
   });
@@ -147,7 +149,7 @@
   CHECK(Future.get() == TransferEnd::Cancelled);
 }
 
-TEST_CASE("a long answer streams through a bounded pipe") {
+TEST_CASE("a long answer is streamed through a bounded pipe") {
   const std::string Body(3'000'000, 'z');
   RawServer Server([&Body](const std::string &, int) {
     return RawReply{httpAnswer("200 OK", Body)};
@@ -194,7 +196,7 @@
   CHECK(End.get_future().get().m_End == TransferEnd::Answered);
 }
 
-TEST_CASE("a long request body streams from a pipe") {
+TEST_CASE("a long request body is streamed from a pipe") {
   const std::string Body(1'000'000, 'u');
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer("200 OK", "ok")};
