--- a/src/adapters/target_http/announcement.h
+++ b/src/adapters/target_http/announcement.h
@@ -14,13 +14,13 @@
   ServiceName m_Service;
   /// "host:port" where the target accepts orders.
   std::string m_Address;
-  /// Number of requests that the target processes at the same time.
+  /// Number of orders that the target runs at the same time.
   std::uint32_t m_Slots = 0;
   /// Maximum number of connections to the target.
   std::uint32_t m_Connections = 0;
   /// The target has just started or has lost its cached state.
   bool m_Cold = false;
-  /// The target rejects requests with an outdated epoch.
+  /// The target refuses orders whose epoch is lower than one it has seen.
   bool m_ChecksFences = false;
   /// The target accepts no further orders.
   bool m_Leaving = false;
