--- a/tests/unit-peer-codec-lease.cpp
+++ b/tests/unit-peer-codec-lease.cpp
@@ -1,4 +1,4 @@
-// Tests that the peer codec preserves the fields of the lease messages.
+// Tests that the peer codec preserves the sequences of the lease messages.
 #include "adapters/peer_tcp/codec.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("extension and promise messages are unchanged by a round trip") {
+TEST_CASE("a round trip keeps sessions, sequences and row versions") {
   CHECK(rc::check("extend request", [] {
     ExtendRequest Message;
     Message.m_Session = SessionId(anyNumber());
