--- a/src/adapters/caller_http/request_parser.cpp
+++ b/src/adapters/caller_http/request_parser.cpp
@@ -1,4 +1,4 @@
-// The caller's headers and the rules they must keep.
+// Validates the headers of callers' requests.
 #include "adapters/caller_http/request_parser.h"
 
 #include <algorithm>
@@ -13,7 +13,8 @@
 constexpr std::uint16_t StatusNotFound = 404;
 constexpr std::uint16_t StatusTooLarge = 413;
 constexpr std::uint16_t StatusUnavailable = 503;
-constexpr Duration NoConfigRetry = std::chrono::milliseconds(500);
+/// Retry time sent to callers before the first configuration is loaded.
+constexpr Duration NoConfigRetryAfter = std::chrono::milliseconds(500);
 
 const std::string *findHeader(const RequestHead &Head, std::string_view Name) {
   for (const auto &[Key, Value] : Head.m_Headers)
@@ -47,17 +48,18 @@
                      [](char C) { return C > ' ' && C < '\x7f'; });
 }
 
-/// A number in a header, within bounds; the default when absent.
+/// Reads a number from a header; the default if the header is absent.
 ///
-/// \returns none when it is no such number.
-std::optional<std::uint64_t>
-numberHeader(const RequestHead &Head, std::string_view Name,
-             std::uint64_t Least, std::uint64_t Most, std::uint64_t Default) {
+/// \returns none if the value is not a number from \p Min to \p Max.
+std::optional<std::uint64_t> numberHeader(const RequestHead &Head,
+                                          std::string_view Name,
+                                          std::uint64_t Min, std::uint64_t Max,
+                                          std::uint64_t Default) {
   const std::string *Text = findHeader(Head, Name);
   if (Text == nullptr)
     return Default;
   const std::optional<std::uint64_t> Value = parseNumber(*Text);
-  if (!Value || *Value < Least || *Value > Most)
+  if (!Value || *Value < Min || *Value > Max)
     return std::nullopt;
   return Value;
 }
@@ -66,26 +68,29 @@
   return {.m_Status = StatusBadRequest, .m_Detail = std::move(Detail)};
 }
 
-constexpr std::uint64_t MaxMilliseconds = 24ULL * 3600 * 1000;
+/// Largest deadline and age that a header may state: one day.
+constexpr std::uint64_t MaxDurationMs = 24ULL * 3600 * 1000;
 constexpr std::uint64_t MaxAttempt = 1'000'000;
 
-const RequestClass *findClass(const Service &Target, std::string_view Name) {
+const RequestClass *findClassByName(const Service &Target,
+                                    std::string_view Name) {
   for (const RequestClass &Class : Target.m_Classes)
     if (Class.m_Name.value() == Name)
       return &Class;
   return nullptr;
 }
 
-/// Builds a ParsedRequest step by step; each step refuses or returns none.
+/// Builds a ParsedRequest in steps. Each step returns a refusal, or none if the
+/// request is valid so far.
 class Parser {
 public:
-  Parser(const RequestHead &Head, const Config &Known)
-      : m_Head(Head), m_Config(Known) {}
+  Parser(const RequestHead &Head, const Config &ActiveConfig)
+      : m_Head(Head), m_Config(ActiveConfig) {}
 
   std::optional<Refusal> readService() {
     const std::string *Header = findHeader(m_Head, "Balsamwheel-Service");
     const std::string Name =
-        Header ? *Header : std::string(firstSegment(m_Head.m_Target));
+        Header ? *Header : std::string(firstSegment(m_Head.m_RequestTarget));
     m_Service = m_Config.m_Manifest.findService(ServiceName(Name));
     if (m_Service != nullptr) {
       m_Result.m_Meta.m_Service = m_Service->m_Name;
@@ -107,7 +112,7 @@
     if (!m_Service->m_DividedByKey)
       return std::nullopt;
     if (Key.empty())
-      return badRequest("the service needs a key: header Balsamwheel-Key or "
+      return badRequest("the service requires a key: header Balsamwheel-Key or "
                         "query parameter 'key'");
     m_Result.m_Meta.m_Key = Key;
     return std::nullopt;
@@ -115,9 +120,10 @@
 
   std::optional<Refusal> readClass() {
     const std::string *Name = findHeader(m_Head, "Balsamwheel-Class");
-    const RequestClass *Class = Name ? findClass(*m_Service, *Name)
-                                     : &matchClass(*m_Service, m_Head.m_Method,
-                                                   pathOf(m_Head.m_Target));
+    const RequestClass *Class =
+        Name ? findClassByName(*m_Service, *Name)
+             : &matchClass(*m_Service, m_Head.m_Method,
+                           pathOf(m_Head.m_RequestTarget));
     if (Class == nullptr)
       return badRequest("the service has no class '" + *Name + "'");
     m_Result.m_Meta.m_Class = Class->m_Name;
@@ -129,35 +135,35 @@
 
   std::optional<Refusal> readDeadline() {
     const auto Deadline = numberHeader(m_Head, "Balsamwheel-Deadline-Ms", 1,
-                                       MaxMilliseconds, MaxMilliseconds);
+                                       MaxDurationMs, MaxDurationMs);
     if (!Deadline)
       return badRequest("Balsamwheel-Deadline-Ms must be a whole number of "
                         "milliseconds of at least 1");
-    const Duration Asked = std::chrono::milliseconds(*Deadline);
-    m_Result.m_TimeLeft = std::min(m_Result.m_TimeLeft, Asked);
+    const Duration Requested = std::chrono::milliseconds(*Deadline);
+    m_Result.m_TimeLeft = std::min(m_Result.m_TimeLeft, Requested);
     return std::nullopt;
   }
 
-  std::optional<Refusal> readIdentity(const RequestId &FreshId) {
+  std::optional<Refusal> readIdentity(const RequestId &GeneratedId) {
     const std::string *Id = findHeader(m_Head, "Balsamwheel-Request-Id");
     if (Id != nullptr &&
         (Id->empty() || Id->size() > MaxRequestIdLength || !isPrintable(*Id)))
       return badRequest("Balsamwheel-Request-Id must have 1 to " +
                         std::to_string(MaxRequestIdLength) +
                         " printable characters");
-    m_Result.m_Meta.m_Id = Id ? RequestId(*Id) : FreshId;
+    m_Result.m_Meta.m_Id = Id ? RequestId(*Id) : GeneratedId;
     const auto Attempt =
         numberHeader(m_Head, "Balsamwheel-Attempt", 1, MaxAttempt, 1);
     if (!Attempt)
       return badRequest("Balsamwheel-Attempt must be a whole number of at "
                         "least 1");
     const auto Age = numberHeader(m_Head, "Balsamwheel-First-Attempt-Age-Ms", 0,
-                                  MaxMilliseconds, 0);
+                                  MaxDurationMs, 0);
     if (!Age)
       return badRequest("Balsamwheel-First-Attempt-Age-Ms must be a whole "
                         "number of milliseconds");
     if (*Attempt > 1 && Id == nullptr)
-      return badRequest("a repeated attempt needs its Balsamwheel-Request-Id");
+      return badRequest("a repeated attempt requires Balsamwheel-Request-Id");
     m_Result.m_Meta.m_Attempt = static_cast<std::uint32_t>(*Attempt);
     m_Result.m_Meta.m_FirstAttemptAge = std::chrono::milliseconds(*Age);
     return std::nullopt;
@@ -173,7 +179,7 @@
     }
     m_Result.m_BodyLength = parseNumber(*Text);
     if (!m_Result.m_BodyLength)
-      return badRequest("Content-Length is no number");
+      return badRequest("Content-Length is not a number");
     if (*m_Result.m_BodyLength > m_Result.m_MaxBodyBytes)
       return Refusal{.m_Status = StatusTooLarge,
                      .m_Detail = "the body is larger than " +
@@ -220,16 +226,16 @@
   return *Best;
 }
 
-std::variant<ParsedRequest, Refusal> parseRequest(const RequestHead &Head,
-                                                  const Config *Known,
-                                                  const RequestId &FreshId) {
-  if (Known == nullptr)
+std::variant<ParsedRequest, Refusal>
+parseRequest(const RequestHead &Head, const Config *ActiveConfig,
+             const RequestId &GeneratedId) {
+  if (ActiveConfig == nullptr)
     return Refusal{.m_Status = StatusUnavailable,
                    .m_Outcome = Outcome::Wait,
                    .m_Reason = Reason::NoOwner,
-                   .m_Detail = "no configuration is known yet",
-                   .m_RetryAfter = NoConfigRetry};
-  Parser Steps(Head, *Known);
+                   .m_Detail = "no configuration has been loaded yet",
+                   .m_RetryAfter = NoConfigRetryAfter};
+  Parser Steps(Head, *ActiveConfig);
   if (auto Problem = Steps.readService())
     return *Problem;
   if (auto Problem = Steps.readKey())
@@ -238,7 +244,7 @@
     return *Problem;
   if (auto Problem = Steps.readDeadline())
     return *Problem;
-  if (auto Problem = Steps.readIdentity(FreshId))
+  if (auto Problem = Steps.readIdentity(GeneratedId))
     return *Problem;
   if (auto Problem = Steps.readBodyLength())
     return *Problem;
--- a/tests/unit-transfer-loop.cpp
+++ b/tests/unit-transfer-loop.cpp
@@ -1,4 +1,5 @@
-// Requests through libcurl: whole, cut, late, cancelled, never repeated.
+// Tests the transfer loop: complete, truncated, late and cancelled transfers,
+// and that no request is sent twice.
 #include "adapters/http_client/transfer_loop.h"
 #include "runtime/boot_clock.h"
 #include "support/raw_server.h"
@@ -13,42 +14,42 @@
 
 namespace {
 
-constexpr auto Patience = std::chrono::seconds(10);
+constexpr auto TestTimeout = std::chrono::seconds(10);
 
-/// Hands a transfer over and waits for its end.
-TransferResult perform(TransferLoop &Loop, Transfer Work) {
+/// Submits a transfer and waits for its end.
+TransferResult perform(TransferLoop &Loop, Transfer Outgoing) {
   auto Promise = std::make_shared<std::promise<TransferResult>>();
   auto Future = Promise->get_future();
-  Work.m_OnEnd = [Promise](TransferResult Result) {
+  Outgoing.m_OnEnd = [Promise](TransferResult Result) {
     Promise->set_value(std::move(Result));
   };
-  Loop.submit(std::move(Work));
-  REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+  Loop.submit(std::move(Outgoing));
+  REQUIRE(Future.wait_for(TestTimeout) == std::future_status::ready);
   return Future.get();
 }
 
 Transfer makeTransfer(const std::string &Method, const std::string &Address,
                       std::string Body = {}) {
-  Transfer Work;
-  Work.m_Method = Method;
-  Work.m_Url = "http://" + Address + "/path";
-  Work.m_Body = std::move(Body);
-  Work.m_BodyLength = Work.m_Body.size();
-  Work.m_Deadline = runtime::bootNow() + std::chrono::seconds(5);
-  return Work;
+  Transfer Outgoing;
+  Outgoing.m_Method = Method;
+  Outgoing.m_Url = "http://" + Address + "/path";
+  Outgoing.m_Body = std::move(Body);
+  Outgoing.m_BodyLength = Outgoing.m_Body.size();
+  Outgoing.m_Deadline = runtime::bootNow() + std::chrono::seconds(5);
+  return Outgoing;
 }
 
 } // namespace
 
-TEST_CASE("a whole answer arrives with status, headers and hash") {
+TEST_CASE("a complete answer is reported with status and hash") {
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer("201 Created", "hello", "X-A: b\r\n")};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("POST", Server.address(), "body");
-  Work.m_Headers = {"X-Test: 1"};
-  Work.m_DeadlineHeader = "Left";
-  const TransferResult Result = perform(Loop, std::move(Work));
+  Transfer Outgoing = makeTransfer("POST", Server.address(), "body");
+  Outgoing.m_Headers = {"X-Test: 1"};
+  Outgoing.m_DeadlineHeader = "Left";
+  const TransferResult Result = perform(Loop, std::move(Outgoing));
 
   CHECK(Result.m_End == TransferEnd::Answered);
   CHECK(Result.m_Answer.m_Status == 201);
@@ -63,9 +64,10 @@
   CHECK(Sent.ends_with("\r\n\r\nbody"));
 }
 
-TEST_CASE("a request is not repeated on a connection that dies") {
-  // The first request of a connection is answered, the second one closes it
-  // without a byte: libcurl alone would repeat it on a new connection.
+TEST_CASE("a request is not retried when its connection is closed") {
+  // The server answers the first request on a connection and closes the
+  // connection without a byte on the second one, which libcurl by itself would
+  // retry on a new connection.
   for (const std::string Method : {"GET", "POST", "DELETE"}) {
     std::vector<int> Served(100, 0);
     RawServer Server([&Served](const std::string &, int Connection) {
@@ -86,39 +88,39 @@
   }
 }
 
-TEST_CASE("a refused connection means that nothing was sent") {
-  std::string Gone;
+TEST_CASE("a refused connection ends as not sent") {
+  std::string ClosedAddress;
   {
     RawServer Server([](const std::string &, int) { return RawReply{}; });
-    Gone = Server.address();
+    ClosedAddress = Server.address();
   }
   TransferLoop Loop({});
-  CHECK(perform(Loop, makeTransfer("POST", Gone, "x")).m_End ==
+  CHECK(perform(Loop, makeTransfer("POST", ClosedAddress, "x")).m_End ==
         TransferEnd::NotSent);
 }
 
-TEST_CASE("a passed deadline sends nothing") {
+TEST_CASE("a request whose deadline has passed is not sent") {
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer("200 OK", "x")};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_Deadline = runtime::bootNow() - Duration(1);
-  CHECK(perform(Loop, std::move(Work)).m_End == TransferEnd::NotSent);
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_Deadline = runtime::bootNow() - Duration(1);
+  CHECK(perform(Loop, std::move(Outgoing)).m_End == TransferEnd::NotSent);
   CHECK(Server.requests().empty());
 }
 
-TEST_CASE("silence until the deadline is no answer") {
+TEST_CASE("a server that does not answer by the deadline is a time-out") {
   RawServer Server([](const std::string &, int) {
     return RawReply{.m_Bytes = {}, .m_Silent = true};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_Deadline = runtime::bootNow() + std::chrono::milliseconds(200);
-  CHECK(perform(Loop, std::move(Work)).m_End == TransferEnd::TimedOut);
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_Deadline = runtime::bootNow() + std::chrono::milliseconds(200);
+  CHECK(perform(Loop, std::move(Outgoing)).m_End == TransferEnd::TimedOut);
 }
 
-TEST_CASE("an answer that is cut is no answer") {
+TEST_CASE("a truncated answer ends as broken") {
   RawServer Server([](const std::string &, int) {
     return RawReply{"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true};
   });
@@ -127,27 +129,27 @@
         TransferEnd::Broken);
 }
 
-TEST_CASE("a transfer can be cancelled") {
+TEST_CASE("a cancelled transfer is reported as cancelled") {
   RawServer Server([](const std::string &, int) {
     return RawReply{.m_Bytes = {}, .m_Silent = true};
   });
   TransferLoop Loop({});
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_Id = TransferId(7);
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_Id = TransferId(7);
   std::promise<TransferEnd> End;
   auto Future = End.get_future();
-  Work.m_OnEnd = [&End](const TransferResult &Result) {
+  Outgoing.m_OnEnd = [&End](const TransferResult &Result) {
     End.set_value(Result.m_End);
   };
-  Loop.submit(std::move(Work));
+  Loop.submit(std::move(Outgoing));
   while (Server.requests().empty())
     std::this_thread::yield();
   Loop.cancel(TransferId(7));
-  REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(Future.wait_for(TestTimeout) == std::future_status::ready);
   CHECK(Future.get() == TransferEnd::Cancelled);
 }
 
-TEST_CASE("a long answer streams through a bounded pipe") {
+TEST_CASE("a long answer is streamed through a bounded pipe") {
   const std::string Body(3'000'000, 'z');
   RawServer Server([&Body](const std::string &, int) {
     return RawReply{httpAnswer("200 OK", Body)};
@@ -155,9 +157,9 @@
   runtime::BodyPipePtr Pipe;
   std::string Prefix;
   std::promise<void> Answering;
-  Transfer Work = makeTransfer("GET", Server.address());
-  Work.m_MakePipe = [&](std::string_view First,
-                        std::optional<std::uint64_t> Length) {
+  Transfer Outgoing = makeTransfer("GET", Server.address());
+  Outgoing.m_MakePipe = [&](std::string_view First,
+                            std::optional<std::uint64_t> Length) {
     runtime::BodyPipeOptions Options;
     Options.m_Id = 5;
     Options.m_Prefix = First;
@@ -165,7 +167,7 @@
     Pipe = std::make_shared<runtime::BodyPipe>(Options);
     return Pipe;
   };
-  Work.m_OnAnswering = [&](HttpAnswer Head) {
+  Outgoing.m_OnAnswering = [&](HttpAnswer Head) {
     CHECK(Head.m_Status == 200);
     CHECK(Head.m_BodyLength == Body.size());
     CHECK(Head.m_BodyStream == 5);
@@ -173,12 +175,12 @@
     Answering.set_value();
   };
   std::promise<TransferResult> End;
-  Work.m_OnEnd = [&End](TransferResult Result) {
+  Outgoing.m_OnEnd = [&End](TransferResult Result) {
     End.set_value(std::move(Result));
   };
   TransferLoop Loop({});
-  Loop.submit(std::move(Work));
-  REQUIRE(Answering.get_future().wait_for(Patience) ==
+  Loop.submit(std::move(Outgoing));
+  REQUIRE(Answering.get_future().wait_for(TestTimeout) ==
           std::future_status::ready);
   CHECK(Prefix.size() <= InlineBodyLimit);
 
@@ -194,31 +196,32 @@
   CHECK(End.get_future().get().m_End == TransferEnd::Answered);
 }
 
-TEST_CASE("a long request body streams from a pipe") {
+TEST_CASE("a long request body is streamed from a pipe") {
   const std::string Body(1'000'000, 'u');
   RawServer Server([](const std::string &, int) {
     return RawReply{httpAnswer("200 OK", "ok")};
   });
-  Transfer Work = makeTransfer("PUT", Server.address());
-  Work.m_Body = Body.substr(0, 1000);
-  Work.m_BodyLength = Body.size();
+  Transfer Outgoing = makeTransfer("PUT", Server.address());
+  Outgoing.m_Body = Body.substr(0, 1000);
+  Outgoing.m_BodyLength = Body.size();
   runtime::BodyPipeOptions Options;
-  Options.m_Prefix = Work.m_Body;
+  Options.m_Prefix = Outgoing.m_Body;
   Options.m_Length = Body.size();
   auto Pipe = std::make_shared<runtime::BodyPipe>(Options);
-  Work.m_Upload = Pipe;
+  Outgoing.m_Upload = Pipe;
   std::thread Writer([&] {
-    for (std::size_t At = 1000; At < Body.size();) {
-      const std::size_t Part = std::min<std::size_t>(50'000, Body.size() - At);
-      if (Pipe->tryWrite(std::string_view(Body).substr(At, Part)))
-        At += Part;
+    for (std::size_t Offset = 1000; Offset < Body.size();) {
+      const std::size_t Part =
+          std::min<std::size_t>(50'000, Body.size() - Offset);
+      if (Pipe->tryWrite(std::string_view(Body).substr(Offset, Part)))
+        Offset += Part;
       else
         std::this_thread::yield();
     }
     Pipe->finish();
   });
   TransferLoop Loop({});
-  const TransferResult Result = perform(Loop, std::move(Work));
+  const TransferResult Result = perform(Loop, std::move(Outgoing));
   Writer.join();
   CHECK(Result.m_End == TransferEnd::Answered);
   REQUIRE(Server.requests().size() == 1);
