--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,5 +1,5 @@
-// Reactor loop over ACE's epoll reactor. ACE's own timer queue follows the
-// time of day, so timers are kept here.
+// Event loop on ACE's epoll reactor. The timers are implemented here because
+// ACE's timer queue uses the wall clock.
 #include "event_loop.h"
 
 #include <ace/Dev_Poll_Reactor.h>
@@ -24,7 +24,8 @@
       m_Reactor(std::make_unique<ACE_Reactor>(
           new ACE_Dev_Poll_Reactor(Options.m_MaxHandles), true)),
       m_Now(bootNow()) {
-  // The reactor reports each wait that a signal interrupts as an error.
+  // Turns off ACE's log: the reactor logs an error whenever a signal interrupts
+  // its wait.
   ACE_LOG_MSG->priority_mask(0, ACE_Log_Msg::PROCESS);
 }
 
@@ -42,16 +43,16 @@
 }
 
 void EventLoop::cancel(TimerId Timer) {
-  auto Known = m_Due.find(Timer);
-  if (Known == m_Due.end())
+  auto DueTime = m_Due.find(Timer);
+  if (DueTime == m_Due.end())
     return;
-  auto [First, Last] = m_Timers.equal_range(Known->second);
-  auto Found = std::find_if(First, Last, [&](const auto &Each) {
-    return Each.second.first == Timer;
+  auto [First, Last] = m_Timers.equal_range(DueTime->second);
+  auto Found = std::find_if(First, Last, [&](const auto &Candidate) {
+    return Candidate.second.first == Timer;
   });
   if (Found != Last)
     m_Timers.erase(Found);
-  m_Due.erase(Known);
+  m_Due.erase(DueTime);
 }
 
 Duration EventLoop::untilNextTimer() const {
@@ -65,8 +66,8 @@
   while (!m_Posted.empty()) {
     std::vector<Task> Batch;
     Batch.swap(m_Posted);
-    for (Task &Each : Batch)
-      Each();
+    for (Task &Work : Batch)
+      Work();
   }
 }
 
@@ -79,19 +80,19 @@
   }
 }
 
-void EventLoop::run(const Task &EachRound) {
+void EventLoop::run(const Task &AfterWakeUp) {
   m_Reactor->owner(ACE_OS::thr_self());
   m_Stopped = false;
   while (!m_Stopped) {
-    const Duration Sleep = untilNextTimer();
+    const Duration Timeout = untilNextTimer();
     ACE_Time_Value Wait(0);
-    Wait.set(static_cast<time_t>(Sleep.count() / 1000000),
-             static_cast<suseconds_t>(Sleep.count() % 1000000));
+    Wait.set(static_cast<time_t>(Timeout.count() / 1000000),
+             static_cast<suseconds_t>(Timeout.count() % 1000000));
     m_Reactor->handle_events(&Wait);
     refreshNow();
     runPosted();
     runTimers();
-    EachRound();
+    AfterWakeUp();
   }
 }
 
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,5 +1,6 @@
-// One thread's reactor, timers and deferred work. Timers run on the boot
-// clock: neither a step of the time of day nor a suspended machine moves them.
+// Event loop of one thread: I/O events, timers and deferred tasks. Timers use
+// CLOCK_BOOTTIME: changes of the wall clock don't affect them, and the time
+// during which the machine is suspended counts.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -17,16 +18,18 @@
 
 namespace balsamwheel {
 
-/// The boot clock now.
+/// Returns the time since boot, suspension included (CLOCK_BOOTTIME).
 TimePoint bootNow();
 
 struct EventLoopOptions {
-  /// Most descriptors watched at the same time.
+  /// Maximum number of descriptors that are watched at the same time.
   std::size_t m_MaxHandles = 4096;
-  /// Longest sleep; bounds how late a signal is noticed.
+  /// Longest wait for an event. After a signal it is at most this long until
+  /// run() calls \p AfterWakeUp.
   Duration m_LongestSleep = std::chrono::milliseconds(250);
 };
 
+/// Runs everything on the thread that calls run(); not thread-safe.
 class EventLoop {
 public:
   using Task = std::function<void()>;
@@ -35,24 +38,29 @@
   explicit EventLoop(EventLoopOptions Options);
   ~EventLoop();
 
-  /// Time at the start of the present event; cheap.
+  /// Returns the time at the start of the current event without reading the
+  /// clock.
   TimePoint now() const { return m_Now; }
-  /// Reads the clock, for checks right before a send.
+  /// Reads the clock; for checks right before something is sent.
   TimePoint refreshNow() { return m_Now = bootNow(); }
 
+  /// Runs \p Work once after \p Delay, measured from now(). Complexity:
+  /// logarithmic in the number of timers.
   TimerId after(Duration Delay, Task Work);
-  /// Unknown and expired timers are ignored.
+  /// Ignores unknown and expired timers.
   void cancel(TimerId Timer);
-  /// Runs \p Work after the present event.
+  /// Runs \p Work after the current event.
   void post(Task Work) { m_Posted.push_back(std::move(Work)); }
-  /// Destroys \p Object after the present event.
+  /// Destroys \p Object after the current event, so that it may be called from
+  /// one of its own callbacks.
   template <typename T> void retire(std::unique_ptr<T> Object) {
-    post([Kept = std::shared_ptr<T>(std::move(Object))] {});
+    post([Owned = std::shared_ptr<T>(std::move(Object))] {});
   }
 
   ACE_Reactor &reactor() { return *m_Reactor; }
-  /// Runs until stop(); \p EachRound is called after each wake-up.
-  void run(const Task &EachRound);
+  /// Runs until stop(). \p AfterWakeUp is called after each wake-up, when the
+  /// posted tasks and due timers have run.
+  void run(const Task &AfterWakeUp);
   void stop() { m_Stopped = true; }
 
 private:
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,4 +1,4 @@
-// Connections to one endpoint and the calls on them.
+// Connection pool of one endpoint and the calls on its connections.
 #include "http_client.h"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// The "timeout" of a Keep-Alive header; none when it gives no time.
+/// Returns the "timeout" parameter of a Keep-Alive header; none if it is
+/// missing or malformed.
 std::optional<Duration> keepAliveTimeout(std::string_view Header) {
   const std::size_t Found = Header.find("timeout=");
   if (Found == std::string_view::npos)
@@ -25,46 +26,47 @@
 
 } // namespace
 
-/// Carries one call at a time.
+/// A pooled connection with at most one call at a time.
 class HttpClientConnection {
 public:
   HttpClientConnection(HttpClient &Client, EventLoop &Loop)
       : m_Client(Client), m_Loop(Loop), m_Stream(Loop) {
     m_Stream.setEvents(
-        {.m_OnOpen = [this] { opened(); },
-         .m_OnData = [this](std::string_view Bytes) { received(Bytes); },
-         .m_OnEnd = [this](StreamEnd How) { ended(How); }});
+        {.m_OnOpen = [this] { onOpen(); },
+         .m_OnData = [this](std::string_view Bytes) { onData(Bytes); },
+         .m_OnEnd = [this](StreamEnd End) { onEnd(End); }});
   }
 
   ~HttpClientConnection() { m_Loop.cancel(m_Timer); }
 
-  bool connect(const Endpoint &To) {
-    m_Stream.setUnacknowledgedLimit(m_Client.m_Options.m_UnacknowledgedLimit);
-    return m_Stream.connect(To);
+  bool connect(const Endpoint &Server) {
+    m_Stream.setUserTimeout(m_Client.m_Options.m_UnacknowledgedLimit);
+    return m_Stream.connect(Server);
   }
   bool idle() const { return !m_Call; }
-  bool idleSince(TimePoint Limit) const { return m_IdleSince >= Limit; }
+  bool usedSince(TimePoint Time) const { return m_IdleSince >= Time; }
   HttpClient::CallId callId() const {
     return m_Call ? m_Call->m_Id : HttpClient::CallId();
   }
 
-  void start(HttpClient::Waiting Call) {
-    m_Call = std::make_unique<HttpClient::Waiting>(std::move(Call));
+  void start(HttpClient::PendingCall Call) {
+    m_Call = std::make_unique<HttpClient::PendingCall>(std::move(Call));
     m_Input.clear();
-    newParser();
-    const Duration Left = m_Call->m_Until - m_Loop.now();
+    resetParser();
+    const Duration Remaining = m_Call->m_Deadline - m_Loop.now();
     const bool Open = m_Stream.isOpen();
-    setTimer(Open ? Left : std::min(Left, m_Client.m_Options.m_ConnectTimeout));
+    setTimer(Open ? Remaining
+                  : std::min(Remaining, m_Client.m_Options.m_ConnectTimeout));
     if (Open)
       sendRequest();
   }
 
-  /// Ends the call under way, if any, and the connection.
-  void fail(HttpCallEnd How, const char *Error) {
-    const std::unique_ptr<HttpClient::Waiting> Call = std::move(m_Call);
+  /// Closes the connection and ends its call, if any, with \p End and \p Error.
+  void fail(HttpCallEnd End, const char *Error) {
+    const std::unique_ptr<HttpClient::PendingCall> Call = std::move(m_Call);
     shutDown();
     if (Call)
-      Call->m_Done({.m_End = How, .m_Error = Error});
+      Call->m_Done({.m_End = End, .m_Error = Error});
   }
 
   void shutDown() {
@@ -75,19 +77,19 @@
   }
 
 private:
-  void opened() {
+  void onOpen() {
     if (!m_Call)
       return;
-    setTimer(m_Call->m_Until - m_Loop.now());
+    setTimer(m_Call->m_Deadline - m_Loop.now());
     sendRequest();
   }
 
   void sendRequest() {
-    m_Sent = true;
+    m_RequestSent = true;
     m_Stream.write(m_Call->m_Call.m_Request.toText());
   }
 
-  void newParser() {
+  void resetParser() {
     m_Parser = std::make_unique<HttpAnswerParser>(
         m_Client.m_Options.m_Limits,
         m_Call->m_Call.m_Request.m_Method == "HEAD");
@@ -95,20 +97,20 @@
 
   void setTimer(Duration Delay) {
     m_Loop.cancel(m_Timer);
-    m_Timer = m_Loop.after(Delay, [this] { timedOut(); });
+    m_Timer = m_Loop.after(Delay, [this] { onTimeout(); });
   }
 
-  void timedOut() {
+  void onTimeout() {
     if (!m_Call)
       return shutDown();
-    if (!m_Sent)
+    if (!m_RequestSent)
       return fail(HttpCallEnd::NotSent, "no connection in time");
     m_Client.closeIdle();
     fail(HttpCallEnd::TimedOut, "no answer in time");
   }
 
-  void received(std::string_view Bytes) {
-    if (!m_Call) // Bytes that belong to no request spoil the connection.
+  void onData(std::string_view Bytes) {
+    if (!m_Call) // Bytes outside an answer: the connection can't be reused.
       return shutDown();
     m_Input.append(Bytes);
     parse();
@@ -128,21 +130,24 @@
   void complete(HttpAnswer Answer) {
     const HttpCall &Call = m_Call->m_Call;
     const bool Interim = Answer.m_Status < 200;
-    const bool Foreign = !Call.m_IdHeader.empty() &&
-                         Answer.m_Headers.get(Call.m_IdHeader) != Call.m_Id;
-    if (Interim || Foreign)
-      return newParser();
-    // Bytes beyond the answer, or a body still unsent, spoil the connection.
+    const bool OtherRequest =
+        !Call.m_IdHeader.empty() &&
+        Answer.m_Headers.get(Call.m_IdHeader) != Call.m_Id;
+    if (Interim || OtherRequest)
+      return resetParser();
+    // After surplus bytes, or with a part of the request still unsent, the
+    // connection can't be reused.
     const bool Reusable = Answer.m_KeepAlive && m_Input.empty() &&
                           m_Stream.isOpen() && m_Stream.pending() == 0;
-    const auto Stated = keepAliveTimeout(Answer.m_Headers.get("Keep-Alive"));
-    const std::unique_ptr<HttpClient::Waiting> Done = std::move(m_Call);
+    const auto ServerTimeout =
+        keepAliveTimeout(Answer.m_Headers.get("Keep-Alive"));
+    const std::unique_ptr<HttpClient::PendingCall> Done = std::move(m_Call);
     m_Parser.reset();
-    m_Sent = false;
+    m_RequestSent = false;
     m_IdleSince = m_Loop.now();
     Duration Idle = m_Client.m_Options.m_IdleTimeout;
-    if (Stated)
-      Idle = std::min(Idle, *Stated - m_Client.m_Options.m_IdleMargin);
+    if (ServerTimeout)
+      Idle = std::min(Idle, *ServerTimeout - m_Client.m_Options.m_IdleMargin);
     if (Reusable && Idle > Duration::zero())
       setTimer(Idle);
     else
@@ -152,13 +157,14 @@
     m_Client.dispatch();
   }
 
-  void ended(StreamEnd How) {
+  void onEnd(StreamEnd End) {
     if (!m_Call)
       return shutDown();
-    if (!m_Sent)
+    if (!m_RequestSent)
       return fail(HttpCallEnd::NotSent, "the connection was refused");
-    // Only an orderly close can complete an answer without a length.
-    if (How == StreamEnd::Closed && m_Parser->finish() == ParseState::Complete)
+    // An answer without a length ends with an orderly close, never with a
+    // failure.
+    if (End == StreamEnd::Closed && m_Parser->finish() == ParseState::Complete)
       return complete(m_Parser->take());
     fail(HttpCallEnd::Broken, "the connection ended before the answer");
   }
@@ -166,38 +172,41 @@
   HttpClient &m_Client;
   EventLoop &m_Loop;
   Stream m_Stream;
-  std::unique_ptr<HttpClient::Waiting> m_Call;
+  std::unique_ptr<HttpClient::PendingCall> m_Call;
   std::unique_ptr<HttpAnswerParser> m_Parser;
   std::string m_Input;
   EventLoop::TimerId m_Timer;
   TimePoint m_IdleSince;
-  /// The present call's request was handed to the connection.
-  bool m_Sent = false;
+  /// The current call's request was written to the stream.
+  bool m_RequestSent = false;
 };
 
-HttpClient::HttpClient(EventLoop &Loop, Endpoint To, HttpClientOptions Options)
-    : m_Loop(Loop), m_To(std::move(To)), m_Options(Options) {}
+HttpClient::HttpClient(EventLoop &Loop, Endpoint Server,
+                       HttpClientOptions Options)
+    : m_Loop(Loop), m_Server(std::move(Server)), m_Options(Options) {}
 
 HttpClient::~HttpClient() = default;
 
 HttpClient::CallId HttpClient::call(HttpCall Call, OnResult Done) {
   const CallId Id(++m_LastCall);
-  const TimePoint Until = m_Loop.now() + Call.m_Timeout;
-  m_Waiting.push_back({.m_Id = Id,
-                       .m_Call = std::move(Call),
-                       .m_Done = std::move(Done),
-                       .m_Until = Until});
+  const TimePoint Deadline = m_Loop.now() + Call.m_Timeout;
+  m_Queue.push_back({.m_Id = Id,
+                     .m_Call = std::move(Call),
+                     .m_Done = std::move(Done),
+                     .m_Deadline = Deadline});
   dispatch();
   return Id;
 }
 
 void HttpClient::dispatch() {
-  while (!m_Waiting.empty()) {
-    // The connection used last is the least likely to have been closed.
-    const TimePoint Limit = m_Loop.now() - m_Waiting.front().m_Call.m_MaxIdle;
+  while (!m_Queue.empty()) {
+    // Skips connections that have been idle for longer than the call allows:
+    // the longer ago the last use, the more likely the server has closed it.
+    const TimePoint LastUse = m_Loop.now() - m_Queue.front().m_Call.m_MaxIdle;
     auto Idle = std::find_if(m_Connections.begin(), m_Connections.end(),
-                             [&](const auto &Each) {
-                               return Each->idle() && Each->idleSince(Limit);
+                             [&](const auto &Connection) {
+                               return Connection->idle() &&
+                                      Connection->usedSince(LastUse);
                              });
     if (Idle == m_Connections.end() &&
         m_Connections.size() >= m_Options.m_MaxConnections)
@@ -205,60 +214,61 @@
     if (Idle == m_Connections.end()) {
       if (m_Connections.size() >= m_Options.m_MaxConnections)
         return;
-      auto Fresh = std::make_unique<HttpClientConnection>(*this, m_Loop);
-      ++m_Opened;
-      if (!Fresh->connect(m_To)) {
-        const Waiting Failed = std::move(m_Waiting.front());
-        m_Waiting.pop_front();
+      auto Opened = std::make_unique<HttpClientConnection>(*this, m_Loop);
+      ++m_ConnectionsOpened;
+      if (!Opened->connect(m_Server)) {
+        const PendingCall Failed = std::move(m_Queue.front());
+        m_Queue.pop_front();
         m_Loop.post([Done = Failed.m_Done] {
           Done({.m_End = HttpCallEnd::NotSent, .m_Error = "no socket"});
         });
         continue;
       }
-      m_Connections.push_front(std::move(Fresh));
+      m_Connections.push_front(std::move(Opened));
       Idle = m_Connections.begin();
     }
-    Waiting Call = std::move(m_Waiting.front());
-    m_Waiting.pop_front();
+    PendingCall Call = std::move(m_Queue.front());
+    m_Queue.pop_front();
     (*Idle)->start(std::move(Call));
   }
 }
 
 void HttpClient::closeIdle() {
   std::vector<HttpClientConnection *> Idle;
-  for (const auto &Each : m_Connections)
-    if (Each->idle())
-      Idle.push_back(Each.get());
-  for (HttpClientConnection *Each : Idle)
-    Each->shutDown();
+  for (const auto &Connection : m_Connections)
+    if (Connection->idle())
+      Idle.push_back(Connection.get());
+  for (HttpClientConnection *Connection : Idle)
+    Connection->shutDown();
 }
 
 void HttpClient::cancel(CallId Call) {
-  if (std::erase_if(m_Waiting,
-                    [&](const Waiting &Each) { return Each.m_Id == Call; }) > 0)
+  if (std::erase_if(m_Queue, [&](const PendingCall &Queued) {
+        return Queued.m_Id == Call;
+      }) > 0)
     return;
-  for (const auto &Each : m_Connections)
-    if (Each->callId() == Call)
-      return Each->shutDown();
+  for (const auto &Connection : m_Connections)
+    if (Connection->callId() == Call)
+      return Connection->shutDown();
 }
 
 void HttpClient::reset() {
-  std::list<Waiting> Unsent;
-  Unsent.swap(m_Waiting);
+  std::list<PendingCall> Unsent;
+  Unsent.swap(m_Queue);
   std::vector<HttpClientConnection *> All;
-  for (const auto &Each : m_Connections)
-    All.push_back(Each.get());
-  for (HttpClientConnection *Each : All)
-    Each->fail(HttpCallEnd::Broken, "the endpoint was given up");
-  for (const Waiting &Each : Unsent)
-    Each.m_Done({.m_End = HttpCallEnd::NotSent,
+  for (const auto &Connection : m_Connections)
+    All.push_back(Connection.get());
+  for (HttpClientConnection *Connection : All)
+    Connection->fail(HttpCallEnd::Broken, "the endpoint was given up");
+  for (const PendingCall &Call : Unsent)
+    Call.m_Done({.m_End = HttpCallEnd::NotSent,
                  .m_Error = "the endpoint was given up"});
 }
 
 void HttpClient::remove(HttpClientConnection *Connection) {
-  auto Found =
-      std::find_if(m_Connections.begin(), m_Connections.end(),
-                   [&](const auto &Each) { return Each.get() == Connection; });
+  auto Found = std::find_if(
+      m_Connections.begin(), m_Connections.end(),
+      [&](const auto &Owned) { return Owned.get() == Connection; });
   if (Found == m_Connections.end())
     return;
   m_Loop.retire(std::move(*Found));
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 client of one endpoint on an event loop, with reused connections.
+// HTTP/1.1 client for one endpoint, on an event loop, with a connection pool.
 #pragma once
 
 #include "http_message.h"
@@ -9,85 +9,99 @@
 
 namespace balsamwheel {
 
+/// How a call ended.
 enum class HttpCallEnd : std::uint8_t {
-  /// The whole answer is there.
+  /// A complete answer was received.
   Answered,
-  /// No byte of the request left this process.
+  /// No byte of the request was sent.
   NotSent,
-  /// The request may have arrived; no whole answer came.
+  /// The connection failed or its bytes couldn't be parsed before the answer
+  /// was complete; the request may have arrived.
   Broken,
+  /// No complete answer in time; the request may have arrived.
   TimedOut,
 };
 
 struct HttpCallResult {
   HttpCallEnd m_End = HttpCallEnd::NotSent;
   HttpAnswer m_Answer;
-  /// Why the call ended without an answer; a constant text.
+  /// Why the call ended without an answer; a string literal.
   const char *m_Error = "";
 };
 
 struct HttpCall {
   HttpRequest m_Request;
+  /// From call() to the complete answer, time in the queue included.
   Duration m_Timeout = std::chrono::seconds(1);
-  /// A kept connection that has been idle for longer isn't used: its other end
-  /// may have forgotten it, and the call may not be repeated.
+  /// A pooled connection that has been idle for longer isn't used: the server
+  /// may have dropped it, which matters if the call must not be repeated.
   Duration m_MaxIdle = std::chrono::hours(1);
-  /// An answer whose header of this name has another value is a late or extra
-  /// one of an earlier request and is dropped. Empty takes any answer.
+  /// Name of the header that identifies the request in its answer. An answer
+  /// whose value isn't m_Id is a late or duplicate one of an earlier request
+  /// and is dropped. If empty, any answer is accepted.
   std::string m_IdHeader;
+  /// Expected value of the header m_IdHeader.
   std::string m_Id;
 };
 
 struct HttpClientOptions {
   std::size_t m_MaxConnections = 16;
   ParseLimits m_Limits;
-  /// A connection whose other end acknowledges nothing for this long is lost.
+  /// A connection fails when sent data stays unacknowledged for this long
+  /// (TCP_USER_TIMEOUT).
   Duration m_UnacknowledgedLimit = std::chrono::seconds(4);
   Duration m_ConnectTimeout = std::chrono::milliseconds(800);
-  /// Idle connections are given up before the server closes them.
+  /// Idle connections are closed after this time, before the server does so.
   Duration m_IdleTimeout = std::chrono::seconds(4);
-  /// By how much earlier than its Keep-Alive header says.
+  /// A connection whose server states a time-out in Keep-Alive is closed this
+  /// much earlier than stated.
   Duration m_IdleMargin = std::chrono::milliseconds(800);
 };
 
-/// Calls beyond the connections wait in order. Invariant: each call ends
-/// exactly once, by its callback or by cancel().
+/// Calls wait in order while all connections are busy.
+///
+/// Invariant: each call ends exactly once, by its callback or by cancel().
 class HttpClient {
 public:
   using CallId = StrongId<struct HttpCallIdTag, std::uint64_t>;
   using OnResult = std::function<void(HttpCallResult)>;
 
-  HttpClient(EventLoop &Loop, Endpoint To, HttpClientOptions Options);
+  HttpClient(EventLoop &Loop, Endpoint Server, HttpClientOptions Options);
   ~HttpClient();
 
+  /// Sends the request, or queues it until a connection is free.
   CallId call(HttpCall Call, OnResult Done);
-  /// Closes the connection of a call under way; its callback isn't called.
+  /// Removes a call without calling its callback. The connection of a call in
+  /// progress is closed.
   void cancel(CallId Call);
-  /// Closes all connections; calls under way end as broken.
+  /// Closes all connections. Calls in progress end as Broken, queued ones as
+  /// NotSent.
   void reset();
-  std::uint64_t connectionsOpened() const { return m_Opened; }
+  /// Returns how many connections were opened so far.
+  std::uint64_t connectionsOpened() const { return m_ConnectionsOpened; }
 
 private:
   friend class HttpClientConnection;
-  struct Waiting {
+  struct PendingCall {
     CallId m_Id;
     HttpCall m_Call;
     OnResult m_Done;
-    TimePoint m_Until;
+    TimePoint m_Deadline;
   };
 
+  /// Starts queued calls while there are connections for them.
   void dispatch();
-  /// A call got no answer in time: what made its connection silent may have
-  /// struck the idle ones, too.
+  /// Closes the idle connections. Also used after a time-out: its cause may
+  /// have affected the idle connections, too.
   void closeIdle();
   void remove(class HttpClientConnection *Connection);
 
   EventLoop &m_Loop;
-  Endpoint m_To;
+  Endpoint m_Server;
   HttpClientOptions m_Options;
   std::uint64_t m_LastCall = 0;
-  std::uint64_t m_Opened = 0;
-  std::list<Waiting> m_Waiting;
+  std::uint64_t m_ConnectionsOpened = 0;
+  std::list<PendingCall> m_Queue;
   std::list<std::unique_ptr<HttpClientConnection>> m_Connections;
 };
 
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -1,4 +1,4 @@
-// Text of HTTP messages; parsing is Boost.Beast's.
+// Serialisation of HTTP messages; the parsers are Boost.Beast's.
 #include "http_message.h"
 
 #include <utility>
@@ -19,8 +19,8 @@
                                {Right.data(), Right.size()});
 }
 
-std::string_view view(boost::beast::string_view From) {
-  return {From.data(), From.size()};
+std::string_view toStringView(boost::beast::string_view Text) {
+  return {Text.data(), Text.size()};
 }
 
 std::string_view trim(std::string_view Text) {
@@ -30,22 +30,23 @@
   return Text.substr(First, Text.find_last_not_of(" \t") - First + 1);
 }
 
-template <typename Fields> HttpHeaders copyHeaders(const Fields &From) {
+template <typename FieldsT> HttpHeaders copyHeaders(const FieldsT &Fields) {
   HttpHeaders Result;
-  for (const auto &Each : From)
-    Result.add(view(Each.name_string()), view(Each.value()));
+  for (const auto &Field : Fields)
+    Result.add(toStringView(Field.name_string()), toStringView(Field.value()));
   return Result;
 }
 
-template <typename Parser>
-ParseState feedParser(Parser &Of, std::string &Buffer) {
-  std::size_t Used = 0;
+template <typename ParserT>
+ParseState feedParser(ParserT &Parser, std::string &Buffer) {
+  std::size_t Consumed = 0;
   ParseState State = ParseState::NeedMore;
-  while (!Of.is_done() && Used < Buffer.size()) {
+  while (!Parser.is_done() && Consumed < Buffer.size()) {
     boost::system::error_code Error;
-    const std::size_t Taken = Of.put(
-        boost::asio::buffer(Buffer.data() + Used, Buffer.size() - Used), Error);
-    Used += Taken;
+    const std::size_t Taken = Parser.put(
+        boost::asio::buffer(Buffer.data() + Consumed, Buffer.size() - Consumed),
+        Error);
+    Consumed += Taken;
     if (Error == http::error::need_more) {
       if (Taken == 0)
         break;
@@ -60,28 +61,29 @@
     if (Error)
       return State;
   }
-  Buffer.erase(0, Used);
-  return Of.is_done() ? ParseState::Complete : ParseState::NeedMore;
+  Buffer.erase(0, Consumed);
+  return Parser.is_done() ? ParseState::Complete : ParseState::NeedMore;
 }
 
-template <typename Parser> void limit(Parser &Of, const ParseLimits &Limits) {
-  Of.eager(true);
-  Of.header_limit(static_cast<std::uint32_t>(Limits.m_MaxHeaderBytes));
-  Of.body_limit(Limits.m_MaxBodyBytes);
+template <typename ParserT>
+void applyLimits(ParserT &Parser, const ParseLimits &Limits) {
+  Parser.eager(true);
+  Parser.header_limit(static_cast<std::uint32_t>(Limits.m_MaxHeaderBytes));
+  Parser.body_limit(Limits.m_MaxBodyBytes);
 }
 
 } // namespace
 
 std::string_view HttpHeaders::get(std::string_view Name) const {
-  for (const HttpHeader &Each : m_All)
-    if (sameName(Each.m_Name, Name))
-      return Each.m_Value;
+  for (const HttpHeader &Header : m_All)
+    if (sameName(Header.m_Name, Name))
+      return Header.m_Value;
   return {};
 }
 
 bool HttpHeaders::has(std::string_view Name) const {
-  return std::any_of(m_All.begin(), m_All.end(), [&](const HttpHeader &Each) {
-    return sameName(Each.m_Name, Name);
+  return std::any_of(m_All.begin(), m_All.end(), [&](const HttpHeader &Header) {
+    return sameName(Header.m_Name, Name);
   });
 }
 
@@ -95,14 +97,14 @@
 }
 
 void HttpHeaders::remove(std::string_view Name) {
-  std::erase_if(m_All, [&](const HttpHeader &Each) {
-    return sameName(Each.m_Name, Name);
+  std::erase_if(m_All, [&](const HttpHeader &Header) {
+    return sameName(Header.m_Name, Name);
   });
 }
 
 void HttpHeaders::removeHopByHop() {
-  std::string Named(get("Connection"));
-  std::string_view Rest = Named;
+  std::string Value(get("Connection"));
+  std::string_view Rest = Value;
   while (!Rest.empty()) {
     const std::size_t Comma = Rest.find(',');
     const std::string_view Token = trim(Rest.substr(0, Comma));
@@ -118,8 +120,11 @@
 }
 
 void HttpHeaders::appendTo(std::string &Text) const {
-  for (const HttpHeader &Each : m_All)
-    Text.append(Each.m_Name).append(": ").append(Each.m_Value).append("\r\n");
+  for (const HttpHeader &Header : m_All)
+    Text.append(Header.m_Name)
+        .append(": ")
+        .append(Header.m_Value)
+        .append("\r\n");
 }
 
 std::string HttpRequest::toText() const {
@@ -160,7 +165,7 @@
 
 HttpRequestParser::HttpRequestParser(ParseLimits Limits)
     : m_Impl(std::make_unique<Impl>()) {
-  limit(m_Impl->m_Parser, Limits);
+  applyLimits(m_Impl->m_Parser, Limits);
 }
 
 HttpRequestParser::~HttpRequestParser() = default;
@@ -176,8 +181,9 @@
 HttpRequest HttpRequestParser::take() {
   const bool KeepAlive = m_Impl->m_Parser.keep_alive();
   auto Message = m_Impl->m_Parser.release();
-  HttpRequest Result{.m_Method = std::string(view(Message.method_string())),
-                     .m_Target = std::string(view(Message.target())),
+  HttpRequest Result{.m_Method =
+                         std::string(toStringView(Message.method_string())),
+                     .m_Target = std::string(toStringView(Message.target())),
                      .m_Headers = copyHeaders(Message),
                      .m_Body = std::move(Message.body()),
                      .m_KeepAlive = KeepAlive};
@@ -191,7 +197,7 @@
 
 HttpAnswerParser::HttpAnswerParser(ParseLimits Limits, bool NoBody)
     : m_Impl(std::make_unique<Impl>()) {
-  limit(m_Impl->m_Parser, Limits);
+  applyLimits(m_Impl->m_Parser, Limits);
   m_Impl->m_Parser.skip(NoBody);
 }
 
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 requests and answers as values, and their text.
+// HTTP/1.1 requests and answers: values, serialisation and parsers.
 #pragma once
 
 #include <memory>
@@ -14,19 +14,23 @@
   std::string m_Value;
 };
 
-/// Headers in their order on the wire; names are compared without case.
+/// Headers in the order in which they are sent. Names are compared without
+/// regard to case; the complexity of lookups is linear.
 class HttpHeaders {
 public:
-  /// The first value of the header; empty when it is missing.
+  /// Returns the first value of the header; empty if it is missing.
   std::string_view get(std::string_view Name) const;
   bool has(std::string_view Name) const;
+  /// Appends a header; others of the same name stay.
   void add(std::string_view Name, std::string_view Value);
+  /// Replaces all headers of the same name.
   void set(std::string_view Name, std::string_view Value);
   void remove(std::string_view Name);
-  /// Removes the headers that concern one connection only, those named by
-  /// Connection included, and the framing of the body.
+  /// Removes the hop-by-hop headers, including those that Connection names,
+  /// and the headers of the body's framing.
   void removeHopByHop();
   const std::vector<HttpHeader> &all() const { return m_All; }
+  /// Appends the headers as lines that end with CRLF.
   void appendTo(std::string &Text) const;
 
 private:
@@ -41,7 +45,7 @@
   /// The caller keeps the connection open after the answer.
   bool m_KeepAlive = true;
 
-  /// The text on the wire, framed by a length.
+  /// Serialises the request with a Content-Length header.
   std::string toText() const;
 };
 
@@ -49,11 +53,14 @@
   unsigned m_Status = 0;
   HttpHeaders m_Headers;
   std::string m_Body;
+  /// The connection stays open after the answer.
   bool m_KeepAlive = true;
 
+  /// Serialises the answer with a Content-Length header.
   std::string toText() const;
 };
 
+/// Result of passing bytes to a parser.
 enum class ParseState : std::uint8_t {
   NeedMore,
   Complete,
@@ -67,15 +74,16 @@
   std::size_t m_MaxBodyBytes = std::size_t{64} << 20;
 };
 
-/// Reads one request; see feed().
+/// Parses one request.
 class HttpRequestParser {
 public:
   explicit HttpRequestParser(ParseLimits Limits);
   ~HttpRequestParser();
-  /// Consumes from the front of \p Buffer. After Complete, what is left
-  /// belongs to the next message.
+  /// Parses and removes bytes from the front of \p Buffer. After Complete, the
+  /// bytes that remain belong to the next message.
   ParseState feed(std::string &Buffer);
   bool headersComplete() const;
+  /// Moves the request out; only after Complete.
   HttpRequest take();
 
 private:
@@ -83,15 +91,18 @@
   std::unique_ptr<Impl> m_Impl;
 };
 
-/// Reads one answer.
+/// Parses one answer.
 class HttpAnswerParser {
 public:
-  /// \p NoBody: the request was a HEAD.
+  /// \param NoBody whether the request's method was HEAD.
   HttpAnswerParser(ParseLimits Limits, bool NoBody);
   ~HttpAnswerParser();
+  /// See HttpRequestParser::feed().
   ParseState feed(std::string &Buffer);
-  /// The connection was closed in order, which ends a body without length.
+  /// Reports that the peer closed the connection in order, which ends a body
+  /// without a length. Returns Complete or Malformed.
   ParseState finish();
+  /// Moves the answer out; only after Complete.
   HttpAnswer take();
 
 private:
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,4 +1,4 @@
-// Connections of callers: parsing, time limits, answers in order.
+// Connections of callers: request parsing, time-outs, answers in order.
 #include "http_server.h"
 
 #include <ace/OS_NS_sys_socket.h>
@@ -9,47 +9,49 @@
 
 namespace {
 
-/// How often time limits are checked.
-constexpr Duration SweepInterval = std::chrono::milliseconds(500);
-/// What a caller may send ahead while its request is being served.
+/// How often time-outs are checked.
+constexpr Duration TimeoutCheckInterval = std::chrono::milliseconds(500);
+/// Bytes that a caller may send ahead while its request is being served.
 constexpr std::size_t MaxReadAhead = std::size_t{256} << 10;
 
-/// When the connections reach their limit, one part of this many is closed, if
-/// idle, so that room isn't searched for with each new one.
-constexpr std::size_t IdleBatch = 32;
+/// At the limit of connections, up to one in this many (and at least one) is
+/// closed at once, if idle, so that not every new connection needs a search.
+constexpr std::size_t EvictionDivisor = 32;
 
-HttpAnswer plainAnswer(unsigned Status) {
+HttpAnswer emptyAnswer(unsigned Status) {
   return {.m_Status = Status, .m_KeepAlive = false};
 }
 
 } // namespace
 
+/// One caller's connection.
 class HttpServerConnection {
 public:
   HttpServerConnection(HttpServer &Server, EventLoop &Loop)
       : m_Server(Server), m_Loop(Loop), m_Stream(Loop),
         m_LastActive(Loop.now()) {
     m_Stream.setEvents(
-        {.m_OnData = [this](std::string_view Bytes) { received(Bytes); },
-         .m_OnEnd = [this](StreamEnd) { ended(); }});
+        {.m_OnData = [this](std::string_view Bytes) { onData(Bytes); },
+         .m_OnEnd = [this](StreamEnd) { onEnd(); }});
   }
 
   bool adopt(ACE_HANDLE Handle) { return m_Stream.adopt(Handle); }
   std::size_t pending() const { return m_Stream.pending(); }
   bool busy() const { return m_Exchange != nullptr; }
-  /// Nothing is being read, served or sent.
+  /// Returns whether nothing is being read, served or sent.
   bool idle() const {
     return !m_Exchange && !m_Parser && m_Input.empty() && pending() == 0;
   }
   TimePoint lastActive() const { return m_LastActive; }
 
-  void answered(HttpAnswer Answer) {
+  /// Sends the answer of the current request.
+  void sendAnswer(HttpAnswer Answer) {
     Answer.m_KeepAlive =
-        Answer.m_KeepAlive && m_KeepAlive && !m_Server.m_Closing;
-    const bool Head = m_Exchange && m_Exchange->request().m_Method == "HEAD";
-    release();
+        Answer.m_KeepAlive && m_KeepAlive && !m_Server.m_CloseAfterAnswers;
+    const bool IsHead = m_Exchange && m_Exchange->request().m_Method == "HEAD";
+    detachExchange();
     std::string Text = Answer.toText();
-    if (Head)
+    if (IsHead)
       Text.resize(Text.size() - Answer.m_Body.size());
     m_Stream.write(Text);
     m_LastActive = m_Loop.now();
@@ -67,31 +69,33 @@
       });
   }
 
-  void aborted() {
-    release();
+  /// Closes the connection without an answer.
+  void abort() {
+    detachExchange();
     m_Stream.close();
     m_Server.remove(this);
   }
 
-  /// Applies the time limits.
-  void sweep(TimePoint Now) {
+  /// Closes the connection if a time-out has passed; answers with 408 if a
+  /// request is incomplete.
+  void checkTimeout(TimePoint Now) {
     if (m_Exchange)
       return;
-    const bool Reading = m_Parser || !m_Input.empty();
-    const Duration Limit = Reading ? m_Server.m_Options.m_HeaderTimeout
-                                   : m_Server.m_Options.m_IdleTimeout;
+    const bool RequestStarted = m_Parser || !m_Input.empty();
+    const Duration Limit = RequestStarted ? m_Server.m_Options.m_HeaderTimeout
+                                          : m_Server.m_Options.m_IdleTimeout;
     const bool HeadersDone = m_Parser && m_Parser->headersComplete();
     if (Now - m_LastActive <=
         (HeadersDone ? m_Server.m_Options.m_IdleTimeout : Limit))
       return;
-    if (Reading && !m_Finished)
+    if (RequestStarted && !m_Finished)
       fail(408);
     else
-      aborted();
+      abort();
   }
 
 private:
-  void received(std::string_view Bytes) {
+  void onData(std::string_view Bytes) {
     if (m_Finished)
       return;
     if (!m_Parser || m_Parser->headersComplete())
@@ -99,7 +103,7 @@
     m_Input.append(Bytes);
     if (m_Exchange) {
       if (m_Input.size() > MaxReadAhead)
-        gone();
+        disconnect();
       return;
     }
     parse();
@@ -132,30 +136,30 @@
 
   void fail(unsigned Status) {
     m_Finished = true;
-    m_Stream.write(plainAnswer(Status).toText());
+    m_Stream.write(emptyAnswer(Status).toText());
     m_Stream.closeWhenDrained();
     if (!m_Stream.isOpen())
       m_Server.remove(this);
   }
 
-  void release() {
+  void detachExchange() {
     if (m_Exchange)
       m_Exchange->m_Connection = nullptr;
     m_Exchange.reset();
   }
 
-  void gone() {
+  void disconnect() {
     m_Stream.close();
-    ended();
+    onEnd();
   }
 
-  void ended() {
-    const std::shared_ptr<HttpExchange> Left = std::move(m_Exchange);
+  void onEnd() {
+    const std::shared_ptr<HttpExchange> Unanswered = std::move(m_Exchange);
     m_Exchange.reset();
-    if (Left) {
-      Left->m_Connection = nullptr;
-      if (Left->m_OnGone)
-        Left->m_OnGone();
+    if (Unanswered) {
+      Unanswered->m_Connection = nullptr;
+      if (Unanswered->m_OnCallerDisconnected)
+        Unanswered->m_OnCallerDisconnected();
     }
     m_Server.remove(this);
   }
@@ -168,33 +172,36 @@
   std::shared_ptr<HttpExchange> m_Exchange;
   TimePoint m_LastActive;
   bool m_KeepAlive = true;
-  /// Nothing more is read from the caller.
+  /// No more is read from the caller.
   bool m_Finished = false;
+  /// Posted tasks hold a weak pointer to it: expired, the connection is gone.
   std::shared_ptr<int> m_Alive = std::make_shared<int>(0);
 };
 
 void HttpExchange::answer(HttpAnswer Answer) {
   if (m_Connection)
-    m_Connection->answered(std::move(Answer));
+    m_Connection->sendAnswer(std::move(Answer));
 }
 
 void HttpExchange::abort() {
   if (m_Connection)
-    m_Connection->aborted();
+    m_Connection->abort();
 }
 
 HttpServer::HttpServer(EventLoop &Loop, HttpServerOptions Options,
                        OnRequest Handler)
     : m_Loop(Loop), m_Options(Options), m_Handler(std::move(Handler)),
-      m_Acceptor(Loop, [this](ACE_HANDLE Handle) { accepted(Handle); }) {
-  sweep();
+      m_Acceptor(Loop, [this](ACE_HANDLE Handle) { onAccept(Handle); }) {
+  checkTimeouts();
 }
 
-HttpServer::~HttpServer() { m_Loop.cancel(m_SweepTimer); }
+HttpServer::~HttpServer() { m_Loop.cancel(m_TimeoutCheckTimer); }
 
-bool HttpServer::listen(const Endpoint &At) { return m_Acceptor.listen(At); }
+bool HttpServer::listen(const Endpoint &Local) {
+  return m_Acceptor.listen(Local);
+}
 
-std::size_t HttpServer::active() const {
+std::size_t HttpServer::activeRequests() const {
   std::size_t Count = 0;
   for (const auto &[Key, Connection] : m_Connections)
     Count += Connection->busy() ? 1 : 0;
@@ -202,13 +209,13 @@
 }
 
 std::size_t HttpServer::pending() const {
-  std::size_t Sum = 0;
+  std::size_t Bytes = 0;
   for (const auto &[Key, Connection] : m_Connections)
-    Sum += Connection->pending();
-  return Sum;
+    Bytes += Connection->pending();
+  return Bytes;
 }
 
-void HttpServer::accepted(ACE_HANDLE Handle) {
+void HttpServer::onAccept(ACE_HANDLE Handle) {
   if (m_Connections.size() >= m_Options.m_MaxConnections)
     closeLongestIdle();
   if (m_Connections.size() >= m_Options.m_MaxConnections) {
@@ -226,14 +233,14 @@
     if (Connection->idle())
       Idle.push_back(Key);
   const std::size_t Count =
-      std::min(Idle.size(), m_Options.m_MaxConnections / IdleBatch + 1);
+      std::min(Idle.size(), m_Options.m_MaxConnections / EvictionDivisor + 1);
   std::partial_sort(Idle.begin(),
                     Idle.begin() + static_cast<std::ptrdiff_t>(Count),
                     Idle.end(), [](const auto *Left, const auto *Right) {
                       return Left->lastActive() < Right->lastActive();
                     });
   for (std::size_t Index = 0; Index < Count; ++Index)
-    Idle[Index]->aborted();
+    Idle[Index]->abort();
 }
 
 void HttpServer::remove(HttpServerConnection *Connection) {
@@ -242,15 +249,16 @@
     m_Loop.retire(std::move(Found.mapped()));
 }
 
-void HttpServer::sweep() {
+void HttpServer::checkTimeouts() {
   std::vector<HttpServerConnection *> All;
   All.reserve(m_Connections.size());
   for (const auto &[Key, Connection] : m_Connections)
     All.push_back(Key);
-  for (HttpServerConnection *Each : All)
-    if (m_Connections.contains(Each))
-      Each->sweep(m_Loop.now());
-  m_SweepTimer = m_Loop.after(SweepInterval, [this] { sweep(); });
+  for (HttpServerConnection *Connection : All)
+    if (m_Connections.contains(Connection))
+      Connection->checkTimeout(m_Loop.now());
+  m_TimeoutCheckTimer =
+      m_Loop.after(TimeoutCheckInterval, [this] { checkTimeouts(); });
 }
 
 } // namespace balsamwheel
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 server on an event loop: one request at a time per connection.
+// HTTP/1.1 server on an event loop. Each connection serves one request at a
+// time.
 #pragma once
 
 #include "http_message.h"
@@ -11,42 +12,51 @@
 
 class HttpServerConnection;
 
-/// One request and the way back to its caller. The holder may answer once, at
-/// any time; after the caller has left, answers go nowhere.
+/// A request and the means to answer it. The holder may answer once, at any
+/// time; an answer after the caller has disconnected is discarded.
 class HttpExchange {
 public:
   HttpExchange(HttpRequest Request, HttpServerConnection *Connection)
       : m_Request(std::move(Request)), m_Connection(Connection) {}
 
   HttpRequest &request() { return m_Request; }
-  /// \p Answer's connection is closed afterwards when it says so.
+  /// Sends \p Answer; closes the connection afterwards if its m_KeepAlive is
+  /// false.
   void answer(HttpAnswer Answer);
   /// Closes the connection without an answer.
   void abort();
-  /// Called when the caller closes its connection before the answer.
+  /// Sets the function that is called if the caller disconnects before it was
+  /// answered.
   void onGone(std::function<void()> Callback) {
-    m_OnGone = std::move(Callback);
+    m_OnCallerDisconnected = std::move(Callback);
   }
-  bool isGone() const { return !m_Connection; }
+  /// Returns whether the request was answered or aborted, or its caller has
+  /// disconnected.
+  bool isClosed() const { return !m_Connection; }
 
 private:
   friend class HttpServerConnection;
 
   HttpRequest m_Request;
-  /// Null once the exchange is answered or its caller has left.
+  /// Null once the request was answered or aborted or the caller has
+  /// disconnected.
   HttpServerConnection *m_Connection;
-  std::function<void()> m_OnGone;
+  std::function<void()> m_OnCallerDisconnected;
 };
 
 struct HttpServerOptions {
   ParseLimits m_Limits;
-  /// From the first byte of a request to the end of its headers.
+  /// Maximum time from the first byte of a request to the end of its headers.
   Duration m_HeaderTimeout = std::chrono::seconds(3);
+  /// Maximum time without a byte received or an answer sent, between requests
+  /// and within a request's body.
   Duration m_IdleTimeout = std::chrono::seconds(15);
-  /// Beyond it, new connections take the place of those idle for longest.
+  /// When it is reached, a new connection evicts those that have been idle the
+  /// longest, and is closed if none is idle.
   std::size_t m_MaxConnections = 2048;
 };
 
+/// Accepts connections on one address and passes each request to a handler.
 class HttpServer {
 public:
   using OnRequest = std::function<void(std::shared_ptr<HttpExchange>)>;
@@ -54,36 +64,39 @@
   HttpServer(EventLoop &Loop, HttpServerOptions Options, OnRequest Handler);
   ~HttpServer();
 
-  bool listen(const Endpoint &At);
-  /// New bounds hold from the next request on.
+  /// Returns false if the address can't be listened on.
+  bool listen(const Endpoint &Local);
+  /// Replaces the options; parse limits apply from the next request on.
   void setOptions(HttpServerOptions Options) { m_Options = Options; }
-  /// From now on each answer ends its connection; idle ones stay until their
-  /// caller's next request or the end of the process.
-  void closeAfterAnswers() { m_Closing = true; }
+  /// From now on, connections are closed after their next answer. Idle ones
+  /// stay open until their caller's next request, their idle time-out, or the
+  /// end of the process.
+  void closeAfterAnswers() { m_CloseAfterAnswers = true; }
   void stopListening() { m_Acceptor.close(); }
   std::size_t connections() const { return m_Connections.size(); }
-  /// Requests that have been read and not answered.
-  std::size_t active() const;
-  /// Bytes of answers that callers haven't taken yet.
+  /// Returns the number of requests that were read and not yet answered.
+  std::size_t activeRequests() const;
+  /// Returns the number of answer bytes in the output buffers.
   std::size_t pending() const;
 
 private:
   friend class HttpServerConnection;
 
-  void accepted(ACE_HANDLE Handle);
-  /// Makes room for new connections; there may be none.
+  void onAccept(ACE_HANDLE Handle);
+  /// Closes the connections that have been idle the longest, if any is idle.
   void closeLongestIdle();
   void remove(HttpServerConnection *Connection);
-  void sweep();
+  /// Applies the time-outs to all connections.
+  void checkTimeouts();
 
   EventLoop &m_Loop;
   HttpServerOptions m_Options;
   OnRequest m_Handler;
   Acceptor m_Acceptor;
-  bool m_Closing = false;
+  bool m_CloseAfterAnswers = false;
   std::map<HttpServerConnection *, std::unique_ptr<HttpServerConnection>>
       m_Connections;
-  EventLoop::TimerId m_SweepTimer;
+  EventLoop::TimerId m_TimeoutCheckTimer;
 };
 
 } // namespace balsamwheel
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -1,4 +1,4 @@
-// Non-blocking connections and listeners on the reactor.
+// TCP connections and listeners as event handlers of ACE's reactor.
 #include "stream.h"
 
 #include <ace/INET_Addr.h>
@@ -15,23 +15,25 @@
 
 namespace {
 
+/// Most bytes that are read for one event.
 constexpr std::size_t ReadSize = 65536;
 constexpr int ListenBacklog = 511;
-/// Output buffers above this are given back when they are empty.
-constexpr std::size_t KeptOutput = 4096;
+/// An empty output buffer with a larger capacity (bytes) is freed.
+constexpr std::size_t MaxIdleOutputCapacity = 4096;
 
-void configure(ACE_HANDLE Handle, Duration Unacknowledged, int SendBuffer) {
+void configure(ACE_HANDLE Handle, Duration UserTimeout, int SendBufferBytes) {
   const int Flags = fcntl(Handle, F_GETFL);
   fcntl(Handle, F_SETFL, Flags | O_NONBLOCK);
-  const int On = 1;
-  setsockopt(Handle, IPPROTO_TCP, TCP_NODELAY, &On, sizeof On);
+  const int Enabled = 1;
+  setsockopt(Handle, IPPROTO_TCP, TCP_NODELAY, &Enabled, sizeof Enabled);
   const auto Milliseconds = static_cast<unsigned>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(Unacknowledged)
+      std::chrono::duration_cast<std::chrono::milliseconds>(UserTimeout)
           .count());
   setsockopt(Handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &Milliseconds,
              sizeof Milliseconds);
-  if (SendBuffer > 0)
-    setsockopt(Handle, SOL_SOCKET, SO_SNDBUF, &SendBuffer, sizeof SendBuffer);
+  if (SendBufferBytes > 0)
+    setsockopt(Handle, SOL_SOCKET, SO_SNDBUF, &SendBufferBytes,
+               sizeof SendBufferBytes);
 }
 
 void closeHandle(ACE_HANDLE &Handle) {
@@ -44,8 +46,8 @@
                                               ACE_Event_Handler::DONT_CALL);
 }
 
-ACE_INET_Addr toAce(const Endpoint &From) {
-  return ACE_INET_Addr(From.m_Port, From.m_Host.c_str(), AF_INET);
+ACE_INET_Addr toAceAddress(const Endpoint &Source) {
+  return ACE_INET_Addr(Source.m_Port, Source.m_Host.c_str(), AF_INET);
 }
 
 } // namespace
@@ -67,12 +69,12 @@
   return Result;
 }
 
-bool Stream::connect(const Endpoint &To) {
+bool Stream::connect(const Endpoint &Remote) {
   m_Handle = ACE_OS::socket(AF_INET, SOCK_STREAM, 0);
   if (m_Handle == ACE_INVALID_HANDLE)
     return false;
-  configure(m_Handle, m_Unacknowledged, m_SendBuffer);
-  const ACE_INET_Addr Address = toAce(To);
+  configure(m_Handle, m_UserTimeout, m_SendBufferBytes);
+  const ACE_INET_Addr Address = toAceAddress(Remote);
   const int Result =
       ACE_OS::connect(m_Handle, static_cast<sockaddr *>(Address.get_addr()),
                       Address.get_size());
@@ -81,13 +83,13 @@
     return false;
   }
   m_Connecting = true;
-  m_WriteWatched = true;
+  m_WritableWatched = true;
   return watch(ACE_Event_Handler::READ_MASK | ACE_Event_Handler::WRITE_MASK);
 }
 
 bool Stream::adopt(ACE_HANDLE Handle) {
   m_Handle = Handle;
-  configure(m_Handle, m_Unacknowledged, m_SendBuffer);
+  configure(m_Handle, m_UserTimeout, m_SendBufferBytes);
   return watch(ACE_Event_Handler::READ_MASK);
 }
 
@@ -98,11 +100,11 @@
   return false;
 }
 
-void Stream::wantWrite(bool Wanted) {
-  if (Wanted == m_WriteWatched)
+void Stream::watchWritable(bool Watched) {
+  if (Watched == m_WritableWatched)
     return;
-  m_WriteWatched = Wanted;
-  if (Wanted)
+  m_WritableWatched = Watched;
+  if (Watched)
     m_Loop.reactor().schedule_wakeup(this, ACE_Event_Handler::WRITE_MASK);
   else
     m_Loop.reactor().cancel_wakeup(this, ACE_Event_Handler::WRITE_MASK);
@@ -117,23 +119,24 @@
 }
 
 void Stream::flush() {
-  while (m_Written < m_Output.size()) {
-    const ssize_t Sent = ::send(m_Handle, m_Output.data() + m_Written,
-                                m_Output.size() - m_Written, MSG_NOSIGNAL);
+  while (m_SentBytes < m_Output.size()) {
+    const ssize_t Sent = ::send(m_Handle, m_Output.data() + m_SentBytes,
+                                m_Output.size() - m_SentBytes, MSG_NOSIGNAL);
     if (Sent < 0 && errno == EINTR)
       continue;
     if (Sent < 0) {
-      // A failed connection also becomes readable; its end is reported there.
-      wantWrite(errno == EAGAIN || errno == EWOULDBLOCK);
+      // A failed connection becomes readable, too; handle_input() reports its
+      // end.
+      watchWritable(errno == EAGAIN || errno == EWOULDBLOCK);
       return;
     }
-    m_Written += static_cast<std::size_t>(Sent);
+    m_SentBytes += static_cast<std::size_t>(Sent);
   }
   m_Output.clear();
-  if (m_Output.capacity() > KeptOutput)
+  if (m_Output.capacity() > MaxIdleOutputCapacity)
     m_Output.shrink_to_fit();
-  m_Written = 0;
-  wantWrite(false);
+  m_SentBytes = 0;
+  watchWritable(false);
   if (m_CloseWhenDrained)
     close();
   else if (m_Events.m_OnDrained)
@@ -154,13 +157,13 @@
   m_Connecting = false;
 }
 
-void Stream::end(StreamEnd How) {
+void Stream::end(StreamEnd Reason) {
   close();
   if (m_Events.m_OnEnd)
-    m_Events.m_OnEnd(How);
+    m_Events.m_OnEnd(Reason);
 }
 
-bool Stream::finishConnect() {
+bool Stream::completeConnect() {
   int Error = 0;
   socklen_t Size = sizeof Error;
   if (getsockopt(m_Handle, SOL_SOCKET, SO_ERROR, &Error, &Size) != 0 ||
@@ -178,7 +181,7 @@
   if (m_Handle == ACE_INVALID_HANDLE)
     return 0;
   m_Loop.refreshNow();
-  if (m_Connecting && !finishConnect())
+  if (m_Connecting && !completeConnect())
     return 0;
   flush();
   return 0;
@@ -188,14 +191,14 @@
   if (m_Handle == ACE_INVALID_HANDLE)
     return 0;
   m_Loop.refreshNow();
-  if (m_Connecting && !finishConnect())
+  if (m_Connecting && !completeConnect())
     return 0;
   static std::array<char, ReadSize> Buffer;
-  const ssize_t Read = ::recv(m_Handle, Buffer.data(), Buffer.size(), 0);
-  if (Read > 0) {
+  const ssize_t Received = ::recv(m_Handle, Buffer.data(), Buffer.size(), 0);
+  if (Received > 0) {
     if (m_Events.m_OnData)
-      m_Events.m_OnData({Buffer.data(), static_cast<std::size_t>(Read)});
-  } else if (Read == 0) {
+      m_Events.m_OnData({Buffer.data(), static_cast<std::size_t>(Received)});
+  } else if (Received == 0) {
     end(StreamEnd::Closed);
   } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
     end(StreamEnd::Failed);
@@ -203,14 +206,14 @@
   return 0;
 }
 
-bool Acceptor::listen(const Endpoint &At) {
+bool Acceptor::listen(const Endpoint &Local) {
   m_Handle = ACE_OS::socket(AF_INET, SOCK_STREAM, 0);
   if (m_Handle == ACE_INVALID_HANDLE)
     return false;
-  const int On = 1;
-  setsockopt(m_Handle, SOL_SOCKET, SO_REUSEADDR, &On, sizeof On);
+  const int Enabled = 1;
+  setsockopt(m_Handle, SOL_SOCKET, SO_REUSEADDR, &Enabled, sizeof Enabled);
   fcntl(m_Handle, F_SETFL, fcntl(m_Handle, F_GETFL) | O_NONBLOCK);
-  const ACE_INET_Addr Address = toAce(At);
+  const ACE_INET_Addr Address = toAceAddress(Local);
   if (ACE_OS::bind(m_Handle, static_cast<sockaddr *>(Address.get_addr()),
                    Address.get_size()) == 0 &&
       ACE_OS::listen(m_Handle, ListenBacklog) == 0 &&
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,4 @@
-// A non-blocking TCP connection with an output buffer.
+// Non-blocking TCP connections with an output buffer, and TCP listeners.
 #pragma once
 
 #include "event_loop.h"
@@ -15,30 +15,37 @@
   std::string m_Host;
   std::uint16_t m_Port = 0;
 
+  /// Returns "host:port".
   std::string toText() const;
-  /// \returns none when \p Text isn't "host:port".
+  /// Parses "host:port".
+  ///
+  /// \returns none if \p Text has another format.
   static std::optional<Endpoint> fromText(std::string_view Text);
   auto operator<=>(const Endpoint &) const = default;
 };
 
+/// How a connection ended.
 enum class StreamEnd : std::uint8_t {
-  /// The other side has closed in order.
+  /// The peer closed the connection in order (FIN).
   Closed,
-  /// Reset, refused, or another error of the connection.
+  /// The connection was reset or refused, or failed with another error.
   Failed,
 };
 
 struct StreamEvents {
+  /// connect() has succeeded.
   std::function<void()> m_OnOpen;
   std::function<void(std::string_view)> m_OnData;
-  /// At most once, and never after close().
+  /// The connection has ended. Called at most once, and never after close().
   std::function<void(StreamEnd)> m_OnEnd;
   /// The output buffer has become empty.
   std::function<void()> m_OnDrained;
 };
 
+/// A TCP connection.
+///
 /// Invariants: no event is delivered after close(); write() after the end of
-/// the stream is ignored.
+/// the connection is ignored.
 class Stream final : public ACE_Event_Handler {
 public:
   explicit Stream(EventLoop &Loop) : m_Loop(Loop) {}
@@ -47,14 +54,20 @@
   Stream &operator=(const Stream &) = delete;
 
   void setEvents(StreamEvents Events) { m_Events = std::move(Events); }
-  /// For connect(): how long the other end may acknowledge nothing.
-  void setUnacknowledgedLimit(Duration Limit) { m_Unacknowledged = Limit; }
-  /// Bytes that the kernel may hold for the other end; 0 leaves its default.
-  void setSendBuffer(int Bytes) { m_SendBuffer = Bytes; }
-  /// Begins to connect; the end is reported through the events.
-  bool connect(const Endpoint &To);
-  /// Takes over an accepted socket.
+  /// Sets for connect() and adopt() how long sent data may stay unacknowledged
+  /// before the connection fails (TCP_USER_TIMEOUT).
+  void setUserTimeout(Duration Timeout) { m_UserTimeout = Timeout; }
+  /// Sets the size of the kernel's send buffer (SO_SNDBUF); 0 leaves the
+  /// kernel's default.
+  void setSendBuffer(int Bytes) { m_SendBufferBytes = Bytes; }
+  /// Starts to connect; the result is reported by an event.
+  ///
+  /// \returns false if no socket could be created or the attempt failed at
+  /// once; then no event follows.
+  bool connect(const Endpoint &Remote);
+  /// Takes over an accepted socket. Returns false if it can't be watched.
   bool adopt(ACE_HANDLE Handle);
+  /// Sends \p Bytes, or buffers what the kernel doesn't take yet.
   void write(std::string_view Bytes);
   /// Closes once the output buffer is empty.
   void closeWhenDrained();
@@ -63,7 +76,8 @@
   bool isOpen() const {
     return m_Handle != ACE_INVALID_HANDLE && !m_Connecting;
   }
-  std::size_t pending() const { return m_Output.size() - m_Written; }
+  /// Returns the number of bytes in the output buffer.
+  std::size_t pending() const { return m_Output.size() - m_SentBytes; }
 
   ACE_HANDLE get_handle() const override { return m_Handle; }
   int handle_input(ACE_HANDLE) override;
@@ -71,36 +85,37 @@
 
 private:
   bool watch(ACE_Reactor_Mask Mask);
-  void wantWrite(bool Wanted);
+  void watchWritable(bool Watched);
   void flush();
-  void end(StreamEnd How);
-  bool finishConnect();
+  void end(StreamEnd Reason);
+  bool completeConnect();
 
   EventLoop &m_Loop;
   StreamEvents m_Events;
   ACE_HANDLE m_Handle = ACE_INVALID_HANDLE;
   bool m_Connecting = false;
-  bool m_WriteWatched = false;
+  bool m_WritableWatched = false;
   bool m_CloseWhenDrained = false;
-  Duration m_Unacknowledged = std::chrono::seconds(4);
-  int m_SendBuffer = 0;
+  Duration m_UserTimeout = std::chrono::seconds(4);
+  int m_SendBufferBytes = 0;
   std::string m_Output;
-  /// Bytes of m_Output that have been written.
-  std::size_t m_Written = 0;
+  /// Bytes of m_Output that were passed to the kernel.
+  std::size_t m_SentBytes = 0;
 };
 
-/// Accepts connections on one address.
+/// Listens on one address and accepts connections.
 class Acceptor final : public ACE_Event_Handler {
 public:
   using OnAccept = std::function<void(ACE_HANDLE)>;
 
-  Acceptor(EventLoop &Loop, OnAccept Accepted)
-      : m_Loop(Loop), m_OnAccept(std::move(Accepted)) {}
+  Acceptor(EventLoop &Loop, OnAccept Callback)
+      : m_Loop(Loop), m_OnAccept(std::move(Callback)) {}
   ~Acceptor() override { close(); }
   Acceptor(const Acceptor &) = delete;
   Acceptor &operator=(const Acceptor &) = delete;
 
-  bool listen(const Endpoint &At);
+  /// Returns false if the socket can't be created, bound or watched.
+  bool listen(const Endpoint &Local);
   void close();
   ACE_HANDLE get_handle() const override { return m_Handle; }
   int handle_input(ACE_HANDLE) override;
--- a/src/runtime/body_pipe.cpp
+++ b/src/runtime/body_pipe.cpp
@@ -1,4 +1,4 @@
-// Buffering, counting and hashing of long bodies.
+// Buffering, counting and hashing of the bytes of a long body.
 #include "runtime/body_pipe.h"
 
 #include <algorithm>
@@ -10,8 +10,9 @@
 BodyPipe::BodyPipe(const BodyPipeOptions &Options)
     : m_Id(Options.m_Id), m_Capacity(Options.m_Capacity),
       m_Length(Options.m_Length), m_OnConsumed(Options.m_OnConsumed),
-      m_OnAbandoned(Options.m_OnAbandoned), m_Written(Options.m_Prefix.size()),
-      m_Read(Options.m_Prefix.size()),
+      m_OnAbandoned(Options.m_OnAbandoned),
+      m_WrittenBytes(Options.m_Prefix.size()),
+      m_ReadBytes(Options.m_Prefix.size()),
       m_HashState(XXH3_createState(),
                   [](XXH3_state_s *State) { XXH3_freeState(State); }) {
   XXH3_64bits_reset(m_HashState.get());
@@ -22,14 +23,14 @@
 BodyPipe::~BodyPipe() = default;
 
 bool BodyPipe::readableLocked() const {
-  return m_Waiting > 0 || m_Finished || m_Failed;
+  return m_BufferedBytes > 0 || m_Finished || m_Failed;
 }
 
 bool BodyPipe::writableLocked() const {
-  return m_Failed || m_Waiting * 2 <= m_Capacity;
+  return m_Failed || m_BufferedBytes * 2 <= m_Capacity;
 }
 
-void BodyPipe::notify(std::unique_lock<std::mutex> &Lock) {
+void BodyPipe::unlockAndNotify(std::unique_lock<std::mutex> &Lock) {
   Notify Readable;
   Notify Writable;
   if (m_OnReadable && readableLocked())
@@ -47,15 +48,15 @@
   std::unique_lock Lock(m_Mutex);
   if (m_Failed || m_Finished || Bytes.empty())
     return true;
-  if (m_Waiting > 0 && m_Waiting + Bytes.size() > m_Capacity)
+  if (m_BufferedBytes > 0 && m_BufferedBytes + Bytes.size() > m_Capacity)
     return false;
   XXH3_64bits_update(m_HashState.get(), Bytes.data(), Bytes.size());
   m_Chunks.emplace_back(Bytes);
-  m_Waiting += Bytes.size();
-  m_Written += Bytes.size();
-  if (m_Length && m_Written > *m_Length)
+  m_BufferedBytes += Bytes.size();
+  m_WrittenBytes += Bytes.size();
+  if (m_Length && m_WrittenBytes > *m_Length)
     m_Failed = true;
-  notify(Lock);
+  unlockAndNotify(Lock);
   return true;
 }
 
@@ -65,19 +66,19 @@
     return;
   m_Finished = true;
   m_Hash = XXH3_64bits_digest(m_HashState.get());
-  if ((m_Length && m_Written != *m_Length) ||
+  if ((m_Length && m_WrittenBytes != *m_Length) ||
       (ExpectedHash && m_Hash != *ExpectedHash))
     m_Failed = true;
-  notify(Lock);
+  unlockAndNotify(Lock);
 }
 
 void BodyPipe::fail() {
   std::unique_lock Lock(m_Mutex);
   m_Failed = true;
   m_Chunks.clear();
-  m_FrontRead = 0;
-  m_Waiting = 0;
-  notify(Lock);
+  m_FrontOffset = 0;
+  m_BufferedBytes = 0;
+  unlockAndNotify(Lock);
 }
 
 void BodyPipe::abandon() {
@@ -90,31 +91,32 @@
 
 std::size_t BodyPipe::read(char *Target, std::size_t Size) {
   std::unique_lock Lock(m_Mutex);
-  std::size_t Done = 0;
-  while (Done < Size && !m_Chunks.empty()) {
+  std::size_t Copied = 0;
+  while (Copied < Size && !m_Chunks.empty()) {
     const std::string &Front = m_Chunks.front();
-    const std::size_t Part = std::min(Size - Done, Front.size() - m_FrontRead);
-    Front.copy(Target + Done, Part, m_FrontRead);
-    Done += Part;
-    m_FrontRead += Part;
-    if (m_FrontRead == Front.size()) {
+    const std::size_t Count =
+        std::min(Size - Copied, Front.size() - m_FrontOffset);
+    Front.copy(Target + Copied, Count, m_FrontOffset);
+    Copied += Count;
+    m_FrontOffset += Count;
+    if (m_FrontOffset == Front.size()) {
       m_Chunks.pop_front();
-      m_FrontRead = 0;
+      m_FrontOffset = 0;
     }
   }
-  m_Waiting -= Done;
-  m_Read += Done;
-  notify(Lock);
-  if (m_OnConsumed && Done > 0)
-    m_OnConsumed(Done);
-  return Done;
+  m_BufferedBytes -= Copied;
+  m_ReadBytes += Copied;
+  unlockAndNotify(Lock);
+  if (m_OnConsumed && Copied > 0)
+    m_OnConsumed(Copied);
+  return Copied;
 }
 
 std::string BodyPipe::take(std::size_t Limit) {
   std::string Result;
   {
     const std::unique_lock Lock(m_Mutex);
-    Result.resize(std::min(Limit, m_Waiting));
+    Result.resize(std::min(Limit, m_BufferedBytes));
   }
   Result.resize(read(Result.data(), Result.size()));
   return Result;
@@ -124,12 +126,13 @@
   const std::unique_lock Lock(m_Mutex);
   if (m_Failed)
     return PipeState::Failed;
-  return m_Finished && m_Waiting == 0 ? PipeState::Ended : PipeState::Open;
+  return m_Finished && m_BufferedBytes == 0 ? PipeState::Ended
+                                            : PipeState::Open;
 }
 
 std::uint64_t BodyPipe::readOffset() const {
   const std::unique_lock Lock(m_Mutex);
-  return m_Read;
+  return m_ReadBytes;
 }
 
 std::uint64_t BodyPipe::hash() const {
--- a/src/runtime/body_pipe.h
+++ b/src/runtime/body_pipe.h
@@ -1,4 +1,5 @@
-// A bounded pipe for the part of a long body that does not travel inline.
+// A bounded pipe between two threads for the part of a long body that isn't
+// sent inline with its message.
 #pragma once
 
 #include "balsamwheel/detail/wire/request.h"
@@ -17,38 +18,40 @@
 
 namespace balsamwheel::runtime {
 
-/// What a reader finds at the front of a pipe.
+/// State of a pipe as its reader sees it.
 enum class PipeState : std::uint8_t {
-  /// Bytes wait, or may still come.
+  /// Bytes are buffered or may still be written.
   Open,
-  /// Every byte was written and read.
+  /// All bytes were written and read.
   Ended,
-  /// The rest will never come, or did not match its length or hash.
+  /// The body was aborted, or doesn't match its length or hash.
   Failed,
 };
 
+/// In bytes.
 inline constexpr std::size_t DefaultPipeCapacity = std::size_t{256} * 1024;
 
 struct BodyPipeOptions {
-  /// Where the body is named by messages between daemons.
+  /// Identifies the body in messages between daemons.
   std::uint64_t m_Id = 0;
-  /// The part that travelled inline; counted and hashed, not kept.
+  /// The part that was sent inline; counted and hashed, but not stored.
   std::string_view m_Prefix;
-  /// Length of the whole body, prefix included; none if unknown.
+  /// Length of the whole body in bytes, prefix included; none if unknown.
   std::optional<std::uint64_t> m_Length;
-  /// Most bytes that wait in the pipe.
+  /// Maximum number of buffered bytes; a single larger write is accepted by an
+  /// empty pipe.
   std::size_t m_Capacity = DefaultPipeCapacity;
-  /// Called without locks after bytes were read, with their number.
+  /// Called after each read, without locks held, with the number of bytes.
   std::function<void(std::size_t Bytes)> m_OnConsumed;
-  /// Called without locks when the reader gave up.
+  /// Called without locks held when the reader abandons the pipe.
   std::function<void()> m_OnAbandoned;
 };
 
-/// One writer, one reader, on any threads.
+/// One writer and one reader, each on any thread.
 ///
-/// Invariants: bytes leave in the order they came; at most the capacity, or
-/// one write, waits inside; Ended is reported only when the whole length was
-/// written and a hash given to finish() matched.
+/// Invariants: bytes are read in the order in which they were written; at most
+/// the capacity, or one write, is buffered; Ended is reported only if the whole
+/// length was written and a hash given to finish() matched.
 class BodyPipe {
 public:
   using Notify = std::function<void()>;
@@ -60,40 +63,47 @@
 
   std::uint64_t id() const { return m_Id; }
 
-  /// Appends all of \p Bytes, or nothing and returns false when it is full.
-  /// A pipe that failed swallows everything.
+  /// Appends all of \p Bytes, or nothing and returns false if the pipe is full.
+  /// A failed or finished pipe discards \p Bytes and returns true.
   bool tryWrite(std::string_view Bytes);
-  /// No more follows. The body fails when its length or hash is another.
+  /// Reports that no more bytes follow. The pipe fails if the body's length or
+  /// hash isn't the expected one.
   void finish(std::optional<std::uint64_t> ExpectedHash = std::nullopt);
-  /// The writer gives up, or something between the ends broke.
+  /// Fails the pipe and drops the buffered bytes: the writer aborts the body,
+  /// or the connection between writer and reader was lost.
   void fail();
-  /// The reader gives up. Without effect when the body has ended.
+  /// Fails the pipe on behalf of the reader and calls m_OnAbandoned. Does
+  /// nothing if the pipe has ended or failed.
   void abandon();
 
-  /// Copies bytes out; 0 when none wait.
+  /// Copies up to \p Size buffered bytes to \p Target.
+  ///
+  /// \returns the number of bytes copied.
   std::size_t read(char *Target, std::size_t Size);
-  /// Moves up to \p Limit bytes out.
+  /// Returns up to \p Limit buffered bytes.
   std::string take(std::size_t Limit);
   PipeState state() const;
-  /// Bytes read so far, prefix included.
+  /// Returns the number of bytes read so far, prefix included.
   std::uint64_t readOffset() const;
-  /// The hash of the whole body; meaningful after finish().
+  /// Returns the XXH3 hash of the whole body; valid after finish().
   std::uint64_t hash() const;
-  /// Claims the reading end; false when it was claimed before.
+  /// Reserves the reader's side; false if it was reserved before.
   bool claimReader();
   bool readerClaimed() const;
 
-  /// Calls \p Callback once when there is something to read or no more will
-  /// come; returns false, without keeping it, when that is so already.
+  /// Calls \p Callback once, when there are bytes to read or the pipe has
+  /// finished or failed. Returns false, without storing it, if that is the case
+  /// already.
   bool notifyReadable(Notify Callback);
-  /// Likewise for room to write.
+  /// The same for the writer: when at most half of the capacity is in use or
+  /// the pipe has failed.
   bool notifyWritable(Notify Callback);
 
 private:
   bool readableLocked() const;
   bool writableLocked() const;
-  /// Runs callbacks without the lock.
-  void notify(std::unique_lock<std::mutex> &Lock);
+  /// Releases the lock, then runs the callbacks that are due.
+  void unlockAndNotify(std::unique_lock<std::mutex> &Lock);
 
   const std::uint64_t m_Id;
   const std::size_t m_Capacity;
@@ -103,11 +113,11 @@
 
   mutable std::mutex m_Mutex;
   std::deque<std::string> m_Chunks;
-  /// Bytes of the first chunk that were read.
-  std::size_t m_FrontRead = 0;
-  std::size_t m_Waiting = 0;
-  std::uint64_t m_Written = 0;
-  std::uint64_t m_Read = 0;
+  /// Bytes of the first chunk that have been read.
+  std::size_t m_FrontOffset = 0;
+  std::size_t m_BufferedBytes = 0;
+  std::uint64_t m_WrittenBytes = 0;
+  std::uint64_t m_ReadBytes = 0;
   std::uint64_t m_Hash = 0;
   bool m_Finished = false;
   bool m_Failed = false;
--- a/src/runtime/boot_clock.h
+++ b/src/runtime/boot_clock.h
@@ -1,4 +1,4 @@
-// Reads the clock that the state machines are fed with.
+// The clock whose time is passed to the state machines.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -7,7 +7,8 @@
 
 namespace balsamwheel::runtime {
 
-/// Returns the time since boot, suspension included. Complexity: constant.
+/// Returns the time since boot, suspension included (CLOCK_BOOTTIME).
+/// Complexity: constant.
 inline TimePoint bootNow() {
   timespec Now{};
   clock_gettime(CLOCK_BOOTTIME, &Now);
--- a/src/runtime/bounded_ring.h
+++ b/src/runtime/bounded_ring.h
@@ -11,14 +11,14 @@
 
 namespace balsamwheel::runtime {
 
-/// Each slot carries a sequence number that says whose turn it is: equal to
-/// the position for a producer, one more for a consumer.
+/// Each slot has a sequence number: equal to a position, the slot is free for
+/// the producer of that position; one more, it is filled for its consumer.
 ///
 /// Invariant: the capacity is a power of two and never changes.
 template <typename T> class BoundedRing {
 public:
-  /// \param Capacity rounded up to a power of two of at least 2: with one slot
-  /// a full ring could not be told from an empty one.
+  /// \param Capacity is rounded up to a power of two of at least 2: with one
+  /// slot, a full ring couldn't be distinguished from an empty one.
   explicit BoundedRing(std::size_t Capacity)
       : m_Mask(std::bit_ceil(std::max<std::size_t>(Capacity, 2)) - 1),
         m_Slots(std::make_unique<Slot[]>(m_Mask + 1)) {
@@ -26,17 +26,18 @@
       m_Slots[I].m_Sequence.store(I, std::memory_order_relaxed);
   }
 
-  /// Moves \p Value in; leaves it untouched and returns false when full.
+  /// Moves \p Value in. If the ring is full, returns false and leaves \p Value
+  /// unchanged. Lock-free, constant without contention.
   bool tryPush(T &Value) {
     std::size_t Position = m_Tail.load(std::memory_order_relaxed);
     for (;;) {
       Slot &Candidate = m_Slots[Position & m_Mask];
-      const std::size_t Turn =
+      const std::size_t Sequence =
           Candidate.m_Sequence.load(std::memory_order_acquire);
-      const auto Lead = static_cast<std::ptrdiff_t>(Turn - Position);
-      if (Lead < 0)
+      const auto Difference = static_cast<std::ptrdiff_t>(Sequence - Position);
+      if (Difference < 0)
         return false;
-      if (Lead > 0) {
+      if (Difference > 0) {
         Position = m_Tail.load(std::memory_order_relaxed);
         continue;
       }
@@ -49,17 +50,19 @@
     }
   }
 
-  /// Moves the oldest value out; false when empty.
+  /// Moves the oldest value out; returns false if the ring is empty.
+  /// Lock-free, constant without contention.
   bool tryPop(T &Value) {
     std::size_t Position = m_Head.load(std::memory_order_relaxed);
     for (;;) {
       Slot &Candidate = m_Slots[Position & m_Mask];
-      const std::size_t Turn =
+      const std::size_t Sequence =
           Candidate.m_Sequence.load(std::memory_order_acquire);
-      const auto Lead = static_cast<std::ptrdiff_t>(Turn - (Position + 1));
-      if (Lead < 0)
+      const auto Difference =
+          static_cast<std::ptrdiff_t>(Sequence - (Position + 1));
+      if (Difference < 0)
         return false;
-      if (Lead > 0) {
+      if (Difference > 0) {
         Position = m_Head.load(std::memory_order_relaxed);
         continue;
       }
@@ -73,7 +76,8 @@
     }
   }
 
-  /// A snapshot; exact only while no other thread uses the ring.
+  /// Returns the number of values; exact only while no other thread uses the
+  /// ring.
   std::size_t size() const {
     const std::size_t Head = m_Head.load(std::memory_order_acquire);
     const std::size_t Tail = m_Tail.load(std::memory_order_acquire);
--- a/src/runtime/event_waker.cpp
+++ b/src/runtime/event_waker.cpp
@@ -1,4 +1,4 @@
-// Sleeping on an eventfd.
+// Sleeps by polling an eventfd.
 #include "runtime/event_waker.h"
 
 #include "runtime/boot_clock.h"
@@ -12,27 +12,28 @@
 
 namespace balsamwheel::runtime {
 
-EventWaker::EventWaker() : m_Event(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (m_Event < 0)
+EventWaker::EventWaker() : m_EventFd(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  if (m_EventFd < 0)
     throw std::system_error(errno, std::system_category(), "eventfd");
 }
 
-EventWaker::~EventWaker() { close(m_Event); }
+EventWaker::~EventWaker() { close(m_EventFd); }
 
-void EventWaker::wake() { eventfd_write(m_Event, 1); }
+void EventWaker::wake() { eventfd_write(m_EventFd, 1); }
 
-void EventWaker::sleepUntil(TimePoint Until) {
-  const Duration Left = Until - bootNow();
-  if (Left <= Duration::zero())
+void EventWaker::sleepUntil(TimePoint Deadline) {
+  const Duration Remaining = Deadline - bootNow();
+  if (Remaining <= Duration::zero())
     return;
-  const auto Seconds = std::chrono::duration_cast<std::chrono::seconds>(Left);
-  const timespec Timeout{.tv_sec = Seconds.count(),
-                         .tv_nsec =
-                             std::chrono::nanoseconds(Left - Seconds).count()};
-  pollfd Wait{.fd = m_Event, .events = POLLIN, .revents = 0};
-  if (ppoll(&Wait, 1, &Timeout, nullptr) > 0) {
+  const auto Seconds =
+      std::chrono::duration_cast<std::chrono::seconds>(Remaining);
+  const timespec Timeout{
+      .tv_sec = Seconds.count(),
+      .tv_nsec = std::chrono::nanoseconds(Remaining - Seconds).count()};
+  pollfd Poll{.fd = m_EventFd, .events = POLLIN, .revents = 0};
+  if (ppoll(&Poll, 1, &Timeout, nullptr) > 0) {
     eventfd_t Count = 0;
-    eventfd_read(m_Event, &Count);
+    eventfd_read(m_EventFd, &Count);
   }
 }
 
--- a/src/runtime/event_waker.h
+++ b/src/runtime/event_waker.h
@@ -1,24 +1,27 @@
-// Puts a thread to sleep until another one wakes it or a time has come.
+// Lets a thread sleep until another thread wakes it or a deadline passes.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
 
 namespace balsamwheel::runtime {
 
-/// One sleeper, any number of threads that wake it.
+/// For one sleeping thread; any number of threads may wake it.
 class EventWaker {
 public:
+  /// Throws std::system_error if no eventfd can be created.
   EventWaker();
   ~EventWaker();
   EventWaker(const EventWaker &) = delete;
   EventWaker &operator=(const EventWaker &) = delete;
 
+  /// Ends the current sleep, or the next one if no thread is asleep.
   void wake();
-  /// Sleeps until wake() or \p Until.
-  void sleepUntil(TimePoint Until);
+  /// Sleeps until wake() or until \p Deadline (boot clock). May return early if
+  /// a signal arrives.
+  void sleepUntil(TimePoint Deadline);
 
 private:
-  int m_Event;
+  int m_EventFd;
 };
 
 } // namespace balsamwheel::runtime
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -12,18 +12,19 @@
 
 namespace balsamwheel::runtime {
 
-/// Wakes a consumer; may be called from any thread.
+/// A type whose wake() wakes the consumer and may be called from any thread.
 template <typename T>
 concept Waker = requires(T Value) { Value.wake(); };
 
-/// Producers call the waker only when the consumer is asleep, so a busy
-/// consumer costs them no system call.
+/// Any number of producers, one consumer. Producers call the waker only while
+/// the consumer is asleep, so that a busy consumer costs them no system call.
 template <typename T, Waker WakerT> class Mailbox {
 public:
   Mailbox(std::size_t Capacity, WakerT &Wake)
       : m_Ring(Capacity), m_Waker(Wake) {}
 
-  /// Moves \p Value in; leaves it untouched and returns false when full.
+  /// Moves \p Value in. If the ring is full, returns false and leaves \p Value
+  /// unchanged.
   bool tryPush(T &Value) {
     if (!m_Ring.tryPush(Value))
       return false;
@@ -34,17 +35,19 @@
     return true;
   }
 
-  /// Moves \p Value in, waiting for room. Not for the consumer's own thread.
+  /// Moves \p Value in and blocks while the ring is full. The consumer's thread
+  /// must not call it: it would wait for itself.
   void push(T Value) {
     while (!tryPush(Value))
-      std::this_thread::sleep_for(FullDelay);
+      std::this_thread::sleep_for(FullRetryInterval);
   }
 
+  /// Moves the oldest value out; returns false if there is none.
   bool tryPop(T &Value) { return m_Ring.tryPop(Value); }
 
-  /// Announces that the consumer is about to sleep.
+  /// Called by the consumer before it sleeps.
   ///
-  /// \returns false when something is waiting already: do not sleep.
+  /// \returns false if there are values already: the consumer must not sleep.
   bool prepareToSleep() {
     m_Asleep.store(true, std::memory_order_relaxed);
     std::atomic_thread_fence(std::memory_order_seq_cst);
@@ -54,13 +57,14 @@
     return false;
   }
 
-  /// The consumer woke up.
+  /// Called by the consumer after it has slept.
   void awake() { m_Asleep.store(false, std::memory_order_relaxed); }
 
   std::size_t size() const { return m_Ring.size(); }
 
 private:
-  static constexpr std::chrono::microseconds FullDelay{100};
+  /// Time between attempts of push() while the ring is full.
+  static constexpr std::chrono::microseconds FullRetryInterval{100};
 
   BoundedRing<T> m_Ring;
   WakerT &m_Waker;
--- a/tests/unit-body-pipe.cpp
+++ b/tests/unit-body-pipe.cpp
@@ -1,4 +1,4 @@
-// Pipes for long bodies: order, bounds, length and hash.
+// Tests of BodyPipe: byte order, capacity, checks of length and hash.
 #include "runtime/body_pipe.h"
 
 #include <doctest/doctest.h>
@@ -20,26 +20,27 @@
 
 } // namespace
 
-TEST_CASE("bytes leave in the order they came, whatever the portions") {
+TEST_CASE(
+    "bytes are read in the order written, whatever the sizes of the writes") {
   CHECK(rc::check([](const std::vector<std::string> &Parts) {
-    std::string Whole;
+    std::string Body;
     for (const std::string &Part : Parts)
-      Whole += Part;
-    BodyPipe Pipe(makeOptions("ab", Whole.size() + 2));
+      Body += Part;
+    BodyPipe Pipe(makeOptions("ab", Body.size() + 2));
     std::string Received;
     for (const std::string &Part : Parts) {
       RC_ASSERT(Pipe.tryWrite(Part));
       Received += Pipe.take(*rc::gen::inRange<std::size_t>(0, 20));
     }
-    Pipe.finish(bodyHash("ab" + Whole));
-    Received += Pipe.take(Whole.size());
-    RC_ASSERT(Received == Whole);
+    Pipe.finish(bodyHash("ab" + Body));
+    Received += Pipe.take(Body.size());
+    RC_ASSERT(Received == Body);
     RC_ASSERT(Pipe.state() == PipeState::Ended);
-    RC_ASSERT(Pipe.readOffset() == Whole.size() + 2);
+    RC_ASSERT(Pipe.readOffset() == Body.size() + 2);
   }));
 }
 
-TEST_CASE("a body of another length or hash fails") {
+TEST_CASE("a body whose length or hash does not match fails") {
   BodyPipe Short(makeOptions("ab", 5));
   CHECK(Short.tryWrite("c"));
   Short.finish();
@@ -55,42 +56,43 @@
   CHECK(Damaged.state() == PipeState::Failed);
 }
 
-TEST_CASE("a full pipe refuses and tells when there is room") {
+TEST_CASE(
+    "a full pipe rejects writes and notifies the writer when half is free") {
   BodyPipeOptions Options = makeOptions("", std::nullopt);
   Options.m_Capacity = 10;
   BodyPipe Pipe(Options);
   CHECK(Pipe.tryWrite("12345678"));
   CHECK_FALSE(Pipe.tryWrite("abc"));
-  int Room = 0;
-  REQUIRE(Pipe.notifyWritable([&Room] { ++Room; }));
+  int Notifications = 0;
+  REQUIRE(Pipe.notifyWritable([&Notifications] { ++Notifications; }));
   CHECK(Pipe.take(2) == "12");
-  CHECK(Room == 0);
+  CHECK(Notifications == 0);
   CHECK(Pipe.take(2) == "34");
-  CHECK(Room == 1);
+  CHECK(Notifications == 1);
   CHECK(Pipe.tryWrite("abc"));
 }
 
-TEST_CASE("a reader is told of bytes and of the end") {
+TEST_CASE("the reader is notified of bytes and of the end") {
   BodyPipe Pipe(makeOptions("", std::nullopt));
-  int Told = 0;
-  REQUIRE(Pipe.notifyReadable([&Told] { ++Told; }));
+  int Notifications = 0;
+  REQUIRE(Pipe.notifyReadable([&Notifications] { ++Notifications; }));
   CHECK(Pipe.tryWrite("a"));
-  CHECK(Told == 1);
-  CHECK_FALSE(Pipe.notifyReadable([&Told] { ++Told; }));
+  CHECK(Notifications == 1);
+  CHECK_FALSE(Pipe.notifyReadable([&Notifications] { ++Notifications; }));
   CHECK(Pipe.take(1) == "a");
-  REQUIRE(Pipe.notifyReadable([&Told] { ++Told; }));
+  REQUIRE(Pipe.notifyReadable([&Notifications] { ++Notifications; }));
   Pipe.finish();
-  CHECK(Told == 2);
+  CHECK(Notifications == 2);
   CHECK(Pipe.state() == PipeState::Ended);
 }
 
-TEST_CASE("a pipe has one reader") {
+TEST_CASE("a pipe can be claimed by one reader only") {
   BodyPipe Pipe(makeOptions("", std::nullopt));
   CHECK(Pipe.claimReader());
   CHECK_FALSE(Pipe.claimReader());
 }
 
-TEST_CASE("a reader that gives up is reported once and unblocks the writer") {
+TEST_CASE("abandoning a pipe is reported once and unblocks the writer") {
   int Abandoned = 0;
   BodyPipeOptions Options = makeOptions("", std::nullopt);
   Options.m_OnAbandoned = [&Abandoned] { ++Abandoned; };
--- a/tests/unit-http-loop.cpp
+++ b/tests/unit-http-loop.cpp
@@ -1,4 +1,5 @@
-// HTTP both ways on the event loop, against scripted servers and callers.
+// Tests of HttpClient against scripted servers and of HttpServer against raw
+// connections, on a real event loop.
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "support/raw_server.h"
@@ -11,11 +12,11 @@
 
 namespace {
 
-/// Runs the loop until \p Done or ten seconds have passed.
+/// Runs the loop until \p Done returns true; fails after ten seconds.
 void runUntil(EventLoop &Loop, const std::function<bool()> &Done) {
-  const TimePoint Limit = bootNow() + 10s;
+  const TimePoint Deadline = bootNow() + 10s;
   Loop.run([&] {
-    if (Done() || bootNow() > Limit)
+    if (Done() || bootNow() > Deadline)
       Loop.stop();
   });
   CHECK(Done());
@@ -32,7 +33,7 @@
   return Call;
 }
 
-/// One call against a scripted server.
+/// Makes one call to a scripted server and returns its result.
 HttpCallResult callOnce(RawServer::Script Script, Duration Timeout = 5s) {
   RawServer Server(std::move(Script));
   EventLoop Loop({});
@@ -44,21 +45,22 @@
   return std::move(*Result);
 }
 
-RawReply plain(const std::string &Id, const std::string &Body) {
+RawReply makeAnswer(const std::string &Id, const std::string &Body) {
   return {.m_Bytes = "HTTP/1.1 200 OK\r\nX-Id: " + Id + "\r\nContent-Length: " +
                      std::to_string(Body.size()) + "\r\n\r\n" + Body};
 }
 
 } // namespace
 
-TEST_CASE("a whole answer is delivered") {
-  const HttpCallResult Result =
-      callOnce([](const std::string &, int) { return plain("1", "hello"); });
+TEST_CASE("a complete answer is delivered") {
+  const HttpCallResult Result = callOnce(
+      [](const std::string &, int) { return makeAnswer("1", "hello"); });
   CHECK(Result.m_End == HttpCallEnd::Answered);
   CHECK(Result.m_Answer.m_Body == "hello");
 }
 
-TEST_CASE("a truncated answer may have run") {
+TEST_CASE(
+    "a truncated answer ends the call as Broken: the request may have run") {
   const HttpCallResult Result = callOnce([](const std::string &, int) {
     return RawReply{.m_Bytes = "HTTP/1.1 200 OK\r\nX-Id: 1\r\n"
                                "Content-Length: 9\r\n\r\npart",
@@ -67,26 +69,27 @@
   CHECK(Result.m_End == HttpCallEnd::Broken);
 }
 
-TEST_CASE("bytes that are no answer may have run") {
+TEST_CASE(
+    "a malformed answer ends the call as Broken: the request may have run") {
   const HttpCallResult Result = callOnce([](const std::string &, int) {
     return RawReply{.m_Bytes = "garbage\r\n\r\n"};
   });
   CHECK(Result.m_End == HttpCallEnd::Broken);
 }
 
-TEST_CASE("a silent server is given up in time") {
+TEST_CASE("a call to a silent server times out") {
   const HttpCallResult Result = callOnce(
       [](const std::string &, int) { return RawReply{.m_Silent = true}; },
       200ms);
   CHECK(Result.m_End == HttpCallEnd::TimedOut);
 }
 
-TEST_CASE("a refused connection proves that nothing was sent") {
+TEST_CASE("a refused connection ends the call as NotSent") {
   EventLoop Loop({});
   std::uint16_t Port = 0;
   {
-    RawServer Gone([](const std::string &, int) { return RawReply{}; });
-    Port = Endpoint::fromText(Gone.address())->m_Port;
+    RawServer Stopped([](const std::string &, int) { return RawReply{}; });
+    Port = Endpoint::fromText(Stopped.address())->m_Port;
   }
   HttpClient Client(Loop, {.m_Host = "127.0.0.1", .m_Port = Port}, {});
   std::optional<HttpCallResult> Result;
@@ -96,14 +99,14 @@
   CHECK(Result->m_End == HttpCallEnd::NotSent);
 }
 
-TEST_CASE("an extra answer of an earlier request is never another's answer") {
+TEST_CASE("a duplicate answer of an earlier request is dropped") {
   int Requests = 0;
   RawServer Server([&](const std::string &, int) {
     ++Requests;
     if (Requests == 1)
-      return plain("1", "first");
-    RawReply Second = plain("1", "again");
-    Second.m_Bytes += plain("2", "second").m_Bytes;
+      return makeAnswer("1", "first");
+    RawReply Second = makeAnswer("1", "again");
+    Second.m_Bytes += makeAnswer("2", "second").m_Bytes;
     return Second;
   });
   EventLoop Loop({});
@@ -119,10 +122,10 @@
   CHECK(Bodies == std::vector<std::string>{"first", "second"});
 }
 
-TEST_CASE("connections are reused, and not after Connection: close") {
+TEST_CASE("connections are reused, except after Connection: close") {
   bool Close = false;
   RawServer Server([&](const std::string &, int) {
-    RawReply Reply = plain("1", "x");
+    RawReply Reply = makeAnswer("1", "x");
     if (Close)
       Reply = {.m_Bytes = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nConnection: close\r\n"
                           "Content-Length: 0\r\n\r\n"};
@@ -130,46 +133,48 @@
   });
   EventLoop Loop({});
   HttpClient Client(Loop, *Endpoint::fromText(Server.address()), {});
-  int Left = 4;
+  int RemainingCalls = 4;
   std::function<void()> Next = [&] {
-    Close = Left == 3;
+    Close = RemainingCalls == 3;
     Client.call(makeCall("1"), [&](HttpCallResult) {
-      if (--Left > 0)
+      if (--RemainingCalls > 0)
         Next();
     });
   };
   Next();
-  runUntil(Loop, [&] { return Left == 0; });
+  runUntil(Loop, [&] { return RemainingCalls == 0; });
   CHECK(Client.connectionsOpened() == 2);
 }
 
-TEST_CASE("a call that can't be repeated takes no connection long idle") {
-  RawServer Server([](const std::string &, int) { return plain("1", "x"); });
+TEST_CASE("a call does not use a connection that was idle longer than its "
+          "m_MaxIdle") {
+  RawServer Server(
+      [](const std::string &, int) { return makeAnswer("1", "x"); });
   EventLoop Loop({});
   HttpClient Client(Loop, *Endpoint::fromText(Server.address()), {});
   int Done = 0;
   const auto Count = [&](HttpCallResult) { ++Done; };
   Client.call(makeCall("1"), Count);
   runUntil(Loop, [&] { return Done == 1; });
-  const TimePoint Later = bootNow() + 100ms;
-  runUntil(Loop, [&] { return bootNow() > Later; });
+  const TimePoint FirstIdleEnd = bootNow() + 100ms;
+  runUntil(Loop, [&] { return bootNow() > FirstIdleEnd; });
   Client.call(makeCall("1"), Count);
   runUntil(Loop, [&] { return Done == 2; });
   CHECK(Client.connectionsOpened() == 1);
-  const TimePoint Again = bootNow() + 100ms;
-  runUntil(Loop, [&] { return bootNow() > Again; });
-  HttpCall Fresh = makeCall("1");
-  Fresh.m_MaxIdle = 50ms;
-  Client.call(std::move(Fresh), Count);
+  const TimePoint SecondIdleEnd = bootNow() + 100ms;
+  runUntil(Loop, [&] { return bootNow() > SecondIdleEnd; });
+  HttpCall Limited = makeCall("1");
+  Limited.m_MaxIdle = 50ms;
+  Client.call(std::move(Limited), Count);
   runUntil(Loop, [&] { return Done == 3; });
   CHECK(Client.connectionsOpened() == 2);
 }
 
-TEST_CASE("after a silent call the idle connections aren't trusted either") {
+TEST_CASE("a time-out also closes the idle connections") {
   int Requests = 0;
   RawServer Server([&](const std::string &, int) {
     ++Requests;
-    return Requests == 3 ? RawReply{.m_Silent = true} : plain("1", "x");
+    return Requests == 3 ? RawReply{.m_Silent = true} : makeAnswer("1", "x");
   });
   EventLoop Loop({});
   HttpClient Client(Loop, *Endpoint::fromText(Server.address()), {});
@@ -186,8 +191,9 @@
   CHECK(Client.connectionsOpened() == 3);
 }
 
-TEST_CASE("calls beyond the connections wait for one") {
-  RawServer Server([](const std::string &, int) { return plain("1", "x"); });
+TEST_CASE("calls wait in the queue while all connections are busy") {
+  RawServer Server(
+      [](const std::string &, int) { return makeAnswer("1", "x"); });
   EventLoop Loop({});
   HttpClient Client(Loop, *Endpoint::fromText(Server.address()),
                     {.m_MaxConnections = 1});
@@ -201,7 +207,8 @@
   CHECK(Client.connectionsOpened() == 1);
 }
 
-TEST_CASE("giving an endpoint up ends every call, those that wait as unsent") {
+TEST_CASE(
+    "reset() ends calls in progress as Broken and queued calls as NotSent") {
   RawServer Server(
       [](const std::string &, int) { return RawReply{.m_Silent = true}; });
   EventLoop Loop({});
@@ -220,33 +227,33 @@
 
 namespace {
 
-/// A server under test, and a client's socket to it.
+/// A server under test and a raw client connection to it.
 class ServerRig {
 public:
   explicit ServerRig(HttpServerOptions Options = {})
       : m_Loop({}), m_Server(m_Loop, Options, [this](auto Exchange) {
           m_Exchanges.push_back(std::move(Exchange));
         }) {
-    m_At = *Endpoint::fromText(freeAddress());
+    m_Address = *Endpoint::fromText(freeAddress());
   }
 
-  void listen() { REQUIRE(m_Server.listen(m_At)); }
+  void listen() { REQUIRE(m_Server.listen(m_Address)); }
 
   void connect(const std::string &Bytes) {
     m_Client = std::make_unique<Stream>(m_Loop);
     m_Client->setEvents(
-        {.m_OnData = [this](std::string_view Data) { m_Read.append(Data); },
+        {.m_OnData = [this](std::string_view Data) { m_Received.append(Data); },
          .m_OnEnd = [this](StreamEnd) { m_Ended = true; }});
-    REQUIRE(m_Client->connect(m_At));
+    REQUIRE(m_Client->connect(m_Address));
     m_Client->write(Bytes);
   }
 
   EventLoop m_Loop;
   HttpServer m_Server;
-  Endpoint m_At;
+  Endpoint m_Address;
   std::vector<std::shared_ptr<HttpExchange>> m_Exchanges;
   std::unique_ptr<Stream> m_Client;
-  std::string m_Read;
+  std::string m_Received;
   bool m_Ended = false;
 };
 
@@ -262,51 +269,52 @@
   Rig.m_Exchanges[0]->answer({.m_Status = 200, .m_Body = "one"});
   runUntil(Rig.m_Loop, [&] { return Rig.m_Exchanges.size() == 2; });
   Rig.m_Exchanges[1]->answer({.m_Status = 200, .m_Body = "two"});
-  runUntil(Rig.m_Loop, [&] { return Rig.m_Read.ends_with("two"); });
-  CHECK(Rig.m_Read.find("one") < Rig.m_Read.find("two"));
+  runUntil(Rig.m_Loop, [&] { return Rig.m_Received.ends_with("two"); });
+  CHECK(Rig.m_Received.find("one") < Rig.m_Received.find("two"));
 }
 
-TEST_CASE("a caller that leaves before its answer is noticed at once") {
+TEST_CASE("a caller that disconnects before its answer is reported at once") {
   ServerRig Rig;
   Rig.listen();
   Rig.connect(Get);
-  bool Gone = false;
-  bool Watched = false;
+  bool Disconnected = false;
+  bool Registered = false;
   runUntil(Rig.m_Loop, [&] {
-    if (!Watched && Rig.m_Exchanges.size() == 1) {
-      Watched = true;
-      Rig.m_Exchanges[0]->onGone([&] { Gone = true; });
+    if (!Registered && Rig.m_Exchanges.size() == 1) {
+      Registered = true;
+      Rig.m_Exchanges[0]->onGone([&] { Disconnected = true; });
       Rig.m_Client->close();
     }
-    return Gone;
+    return Disconnected;
   });
-  CHECK(Rig.m_Exchanges[0]->isGone());
+  CHECK(Rig.m_Exchanges[0]->isClosed());
 }
 
-TEST_CASE("slow headers end with 408, idle connections with a close") {
+TEST_CASE("slow headers are answered with 408, idle connections are closed") {
   ServerRig Rig({.m_HeaderTimeout = 200ms, .m_IdleTimeout = 200ms});
   Rig.listen();
   SUBCASE("slow headers") {
     Rig.connect("GET / HT");
     runUntil(Rig.m_Loop, [&] { return Rig.m_Ended; });
-    CHECK(Rig.m_Read.starts_with("HTTP/1.1 408"));
+    CHECK(Rig.m_Received.starts_with("HTTP/1.1 408"));
   }
   SUBCASE("idle") {
     Rig.connect("");
     runUntil(Rig.m_Loop, [&] { return Rig.m_Ended; });
-    CHECK(Rig.m_Read.empty());
+    CHECK(Rig.m_Received.empty());
   }
 }
 
-TEST_CASE("a new caller takes the place of the one idle for longest") {
-  // Callers keep connections open that they hardly use: a limit on them must
-  // not turn away those who have something to ask.
+TEST_CASE(
+    "at the limit a new connection evicts the one idle for the longest time") {
+  // Callers keep connections open that they hardly use; at the limit, callers
+  // with a request must not be rejected in their favour.
   EventLoop Loop({});
   HttpServer Server(Loop, {.m_MaxConnections = 4}, [](const auto &Exchange) {
     Exchange->answer({.m_Status = 200});
   });
-  const Endpoint At = *Endpoint::fromText(freeAddress());
-  REQUIRE(Server.listen(At));
+  const Endpoint Address = *Endpoint::fromText(freeAddress());
+  REQUIRE(Server.listen(Address));
   struct Caller {
     std::unique_ptr<Stream> m_Stream;
     bool m_Ended = false;
@@ -315,31 +323,33 @@
   std::vector<std::unique_ptr<Caller>> Callers;
   for (std::size_t Count = 1; Count <= 6; ++Count) {
     Callers.push_back(std::make_unique<Caller>());
-    Caller &Each = *Callers.back();
-    Each.m_Stream = std::make_unique<Stream>(Loop);
-    Each.m_Stream->setEvents(
+    Caller &Current = *Callers.back();
+    Current.m_Stream = std::make_unique<Stream>(Loop);
+    Current.m_Stream->setEvents(
         {.m_OnOpen =
-             [&Each] {
-               Each.m_Stream->write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+             [&Current] {
+               Current.m_Stream->write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
              },
-         .m_OnData = [&Each](std::string_view) { Each.m_Answered = true; },
-         .m_OnEnd = [&Each](StreamEnd) { Each.m_Ended = true; }});
-    REQUIRE(Each.m_Stream->connect(At));
-    runUntil(Loop, [&] { return Each.m_Answered || Each.m_Ended; });
-    CHECK(Each.m_Answered);
+         .m_OnData =
+             [&Current](std::string_view) { Current.m_Answered = true; },
+         .m_OnEnd = [&Current](StreamEnd) { Current.m_Ended = true; }});
+    REQUIRE(Current.m_Stream->connect(Address));
+    runUntil(Loop, [&] { return Current.m_Answered || Current.m_Ended; });
+    CHECK(Current.m_Answered);
     CHECK(Server.connections() <= 4);
   }
   runUntil(Loop, [&] { return Callers[0]->m_Ended && Callers[1]->m_Ended; });
   CHECK_FALSE(Callers[5]->m_Ended);
 }
 
-TEST_CASE("a smuggling attempt is answered with 400 and nothing runs") {
+TEST_CASE("request smuggling is answered with 400 and no request reaches the "
+          "handler") {
   ServerRig Rig;
   Rig.listen();
   Rig.connect("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
               "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
               Get);
   runUntil(Rig.m_Loop, [&] { return Rig.m_Ended; });
-  CHECK(Rig.m_Read.starts_with("HTTP/1.1 400"));
+  CHECK(Rig.m_Received.starts_with("HTTP/1.1 400"));
   CHECK(Rig.m_Exchanges.empty());
 }
--- a/tests/unit-http-message.cpp
+++ b/tests/unit-http-message.cpp
@@ -1,4 +1,5 @@
-// HTTP messages: framing, limits, smuggling attempts, connection headers.
+// Tests of HTTP messages: framing, limits, request smuggling, hop-by-hop
+// headers.
 #include "net/http_message.h"
 
 #include <doctest/doctest.h>
@@ -8,20 +9,20 @@
 namespace {
 
 ParseState feed(const std::string &Text, HttpRequest *Parsed = nullptr,
-                std::string *Rest = nullptr) {
+                std::string *Remaining = nullptr) {
   HttpRequestParser Parser({.m_MaxHeaderBytes = 512, .m_MaxBodyBytes = 64});
   std::string Buffer = Text;
   const ParseState State = Parser.feed(Buffer);
   if (State == ParseState::Complete && Parsed)
     *Parsed = Parser.take();
-  if (Rest)
-    *Rest = Buffer;
+  if (Remaining)
+    *Remaining = Buffer;
   return State;
 }
 
 } // namespace
 
-TEST_CASE("a request is read byte by byte, and what follows is left") {
+TEST_CASE("a request parsed byte by byte leaves the bytes that follow it") {
   const std::string Text = "POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 3"
                            "\r\n\r\nxyzGET /next";
   HttpRequestParser Parser({});
@@ -40,7 +41,7 @@
   CHECK(Request.m_Body == "xyz");
 }
 
-TEST_CASE("chunked bodies are joined") {
+TEST_CASE("the chunks of a chunked body are concatenated") {
   HttpRequest Request;
   CHECK(feed("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
              "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
@@ -48,7 +49,7 @@
   CHECK(Request.m_Body == "abcde");
 }
 
-TEST_CASE("requests that could hide another one are rejected") {
+TEST_CASE("requests with ambiguous framing (request smuggling) are rejected") {
   CHECK(feed("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
              "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n") ==
         ParseState::Malformed);
@@ -62,14 +63,14 @@
   CHECK(feed("\x16\x03\x01 / HTTP/1.1\r\n\r\n") == ParseState::Malformed);
 }
 
-TEST_CASE("the limits on headers and body hold") {
+TEST_CASE("the limits on the sizes of headers and body are enforced") {
   CHECK(feed("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x') +
              "\r\n\r\n") == ParseState::HeadersTooLarge);
   CHECK(feed("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n") ==
         ParseState::BodyTooLarge);
 }
 
-TEST_CASE("an answer without a length ends with an orderly close only") {
+TEST_CASE("an orderly close completes an answer without a length") {
   HttpAnswerParser Parser({}, false);
   std::string Buffer = "HTTP/1.1 200 OK\r\n\r\npart";
   CHECK(Parser.feed(Buffer) == ParseState::NeedMore);
@@ -89,7 +90,7 @@
   }
 }
 
-TEST_CASE("headers of one connection aren't passed on") {
+TEST_CASE("hop-by-hop headers and those named by Connection are removed") {
   HttpHeaders Headers;
   Headers.add("connection", "close, X-Private");
   Headers.add("X-Private", "1");
--- a/tests/unit-rings.cpp
+++ b/tests/unit-rings.cpp
@@ -1,4 +1,4 @@
-// Bounded rings and the sleep of their consumer.
+// Tests of BoundedRing and of Mailbox with a sleeping consumer.
 #include "runtime/boot_clock.h"
 #include "runtime/event_waker.h"
 #include "runtime/mailbox.h"
@@ -13,7 +13,7 @@
 using namespace balsamwheel;
 using namespace balsamwheel::runtime;
 
-TEST_CASE("a ring behaves like a bounded queue") {
+TEST_CASE("the ring behaves like a bounded FIFO queue") {
   CHECK(rc::check([](const std::vector<bool> &Pushes) {
     BoundedRing<std::string> Ring(4);
     std::deque<std::string> Model;
@@ -21,10 +21,10 @@
     for (const bool Push : Pushes) {
       if (Push) {
         std::string Value = std::to_string(Next++);
-        const bool Room = Model.size() < 4;
-        if (Room)
+        const bool HasRoom = Model.size() < 4;
+        if (HasRoom)
           Model.push_back(Value);
-        RC_ASSERT(Ring.tryPush(Value) == Room);
+        RC_ASSERT(Ring.tryPush(Value) == HasRoom);
       } else {
         std::string Value;
         RC_ASSERT(Ring.tryPop(Value) == !Model.empty());
@@ -38,9 +38,9 @@
   }));
 }
 
-TEST_CASE("a full ring leaves the value with the producer") {
-  for (const std::size_t Asked : {1U, 2U}) {
-    BoundedRing<std::string> Ring(Asked);
+TEST_CASE("a rejected push leaves the value unchanged") {
+  for (const std::size_t Capacity : {1U, 2U}) {
+    BoundedRing<std::string> Ring(Capacity);
     std::string First = "first";
     std::string Second = "second";
     std::string Third = "third";
@@ -51,28 +51,30 @@
   }
 }
 
-TEST_CASE("a sleeping consumer misses nothing from several producers") {
+TEST_CASE("a consumer that sleeps receives every value of several producers in "
+          "order") {
   constexpr int Producers = 3;
-  constexpr int Each = 20'000;
+  constexpr int ValuesPerProducer = 20'000;
   EventWaker Waker;
   Mailbox<int, EventWaker> Box(64, Waker);
   std::vector<std::thread> Threads;
-  for (int P = 0; P < Producers; ++P)
-    Threads.emplace_back([&Box, P] {
-      for (int I = 0; I < Each; ++I)
-        Box.push(P * Each + I);
+  for (int Index = 0; Index < Producers; ++Index)
+    Threads.emplace_back([&Box, Index] {
+      for (int I = 0; I < ValuesPerProducer; ++I)
+        Box.push(Index * ValuesPerProducer + I);
     });
   std::vector<int> Last(Producers, -1);
   int Received = 0;
-  while (Received < Producers * Each) {
+  while (Received < Producers * ValuesPerProducer) {
     int Value = 0;
     while (Box.tryPop(Value)) {
-      const auto From = static_cast<std::size_t>(Value / Each);
-      CHECK_MESSAGE(Value % Each > Last[From], "order within a producer");
-      Last[From] = Value % Each;
+      const auto Producer = static_cast<std::size_t>(Value / ValuesPerProducer);
+      CHECK_MESSAGE(Value % ValuesPerProducer > Last[Producer],
+                    "order within a producer");
+      Last[Producer] = Value % ValuesPerProducer;
       ++Received;
     }
-    if (Received < Producers * Each && Box.prepareToSleep()) {
+    if (Received < Producers * ValuesPerProducer && Box.prepareToSleep()) {
       Waker.sleepUntil(bootNow() + std::chrono::seconds(5));
       Box.awake();
     }
