--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -34,13 +34,13 @@
     m_Stream.setEvents(
         {.m_OnOpen = [this] { onOpen(); },
          .m_OnData = [this](std::string_view Bytes) { onData(Bytes); },
-         .m_OnEnd = [this](StreamEnd End) { onEnd(End); }});
+         .m_OnEnd = [this](StreamEnd Reason) { onEnd(Reason); }});
   }
 
   ~HttpClientConnection() { m_Loop.cancel(m_Timer); }
 
   bool connect(const Endpoint &Server) {
-    m_Stream.setUserTimeout(m_Client.m_Options.m_UnacknowledgedLimit);
+    m_Stream.setTcpUserTimeout(m_Client.m_Options.m_UnacknowledgedLimit);
     return m_Stream.connect(Server);
   }
   bool idle() const { return !m_Call; }
@@ -61,12 +61,13 @@
       sendRequest();
   }
 
-  /// Closes the connection and ends its call, if any, with \p End and \p Error.
-  void fail(HttpCallEnd End, const char *Error) {
+  /// Closes the connection and ends its call, if any, with \p CallOutcome
+  /// and \p Error.
+  void fail(HttpCallEnd CallOutcome, const char *Error) {
     const std::unique_ptr<HttpClient::PendingCall> Call = std::move(m_Call);
     shutDown();
     if (Call)
-      Call->m_Done({.m_End = End, .m_Error = Error});
+      Call->m_Done({.m_End = CallOutcome, .m_Error = Error});
   }
 
   void shutDown() {
@@ -157,14 +158,15 @@
     m_Client.dispatch();
   }
 
-  void onEnd(StreamEnd End) {
+  void onEnd(StreamEnd Reason) {
     if (!m_Call)
       return shutDown();
     if (!m_RequestSent)
       return fail(HttpCallEnd::NotSent, "the connection was refused");
     // An answer without a length ends with an orderly close, never with a
     // failure.
-    if (End == StreamEnd::Closed && m_Parser->finish() == ParseState::Complete)
+    if (Reason == StreamEnd::Closed &&
+        m_Parser->finish() == ParseState::Complete)
       return complete(m_Parser->take());
     fail(HttpCallEnd::Broken, "the connection ended before the answer");
   }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -14,8 +14,9 @@
 /// Bytes that a caller may send ahead while its request is being served.
 constexpr std::size_t MaxReadAhead = std::size_t{256} << 10;
 
-/// At the limit of connections, up to one in this many (and at least one) is
-/// closed at once, if idle, so that not every new connection needs a search.
+/// At the limit of connections, up to one connection plus 1/EvictionDivisor of
+/// the limit are closed together, if idle, so that not every new connection
+/// needs a search.
 constexpr std::size_t EvictionDivisor = 32;
 
 HttpAnswer emptyAnswer(unsigned Status) {
@@ -174,7 +175,8 @@
   bool m_KeepAlive = true;
   /// No more is read from the caller.
   bool m_Finished = false;
-  /// Posted tasks hold a weak pointer to it: expired, the connection is gone.
+  /// Posted tasks hold a weak pointer to it, which expires when the connection
+  /// is destroyed.
   std::shared_ptr<int> m_Alive = std::make_shared<int>(0);
 };
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -21,13 +21,14 @@
 /// An empty output buffer with a larger capacity (bytes) is freed.
 constexpr std::size_t MaxIdleOutputCapacity = 4096;
 
-void configure(ACE_HANDLE Handle, Duration UserTimeout, int SendBufferBytes) {
+void configure(ACE_HANDLE Handle, Duration TcpUserTimeout,
+               int SendBufferBytes) {
   const int Flags = fcntl(Handle, F_GETFL);
   fcntl(Handle, F_SETFL, Flags | O_NONBLOCK);
   const int Enabled = 1;
   setsockopt(Handle, IPPROTO_TCP, TCP_NODELAY, &Enabled, sizeof Enabled);
   const auto Milliseconds = static_cast<unsigned>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(UserTimeout)
+      std::chrono::duration_cast<std::chrono::milliseconds>(TcpUserTimeout)
           .count());
   setsockopt(Handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &Milliseconds,
              sizeof Milliseconds);
@@ -73,7 +74,7 @@
   m_Handle = ACE_OS::socket(AF_INET, SOCK_STREAM, 0);
   if (m_Handle == ACE_INVALID_HANDLE)
     return false;
-  configure(m_Handle, m_UserTimeout, m_SendBufferBytes);
+  configure(m_Handle, m_TcpUserTimeout, m_SendBufferBytes);
   const ACE_INET_Addr Address = toAceAddress(Remote);
   const int Result =
       ACE_OS::connect(m_Handle, static_cast<sockaddr *>(Address.get_addr()),
@@ -89,7 +90,7 @@
 
 bool Stream::adopt(ACE_HANDLE Handle) {
   m_Handle = Handle;
-  configure(m_Handle, m_UserTimeout, m_SendBufferBytes);
+  configure(m_Handle, m_TcpUserTimeout, m_SendBufferBytes);
   return watch(ACE_Event_Handler::READ_MASK);
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -56,7 +56,7 @@
   void setEvents(StreamEvents Events) { m_Events = std::move(Events); }
   /// Sets for connect() and adopt() how long sent data may stay unacknowledged
   /// before the connection fails (TCP_USER_TIMEOUT).
-  void setUserTimeout(Duration Timeout) { m_UserTimeout = Timeout; }
+  void setTcpUserTimeout(Duration Timeout) { m_TcpUserTimeout = Timeout; }
   /// Sets the size of the kernel's send buffer (SO_SNDBUF); 0 leaves the
   /// kernel's default.
   void setSendBuffer(int Bytes) { m_SendBufferBytes = Bytes; }
@@ -96,7 +96,7 @@
   bool m_Connecting = false;
   bool m_WritableWatched = false;
   bool m_CloseWhenDrained = false;
-  Duration m_UserTimeout = std::chrono::seconds(4);
+  Duration m_TcpUserTimeout = std::chrono::seconds(4);
   int m_SendBufferBytes = 0;
   std::string m_Output;
   /// Bytes of m_Output that were passed to the kernel.
