--- a/bench/core/added_latency.cpp
+++ b/bench/core/added_latency.cpp
@@ -19,10 +19,10 @@
 
 /// A target of its own, since the daemon may take all connections of the one
 /// beside it.
-class LoneTarget {
+class StandaloneTarget {
 public:
-  LoneTarget(const std::filesystem::path &Programs,
-             const std::filesystem::path &Folder)
+  StandaloneTarget(const std::filesystem::path &Programs,
+                   const std::filesystem::path &Folder)
       : m_Port(pickFreePort()),
         m_Process({.m_Command = {Programs / "balsamwheel-bench", "target",
                                  "--port", std::to_string(m_Port), "--service",
@@ -48,7 +48,7 @@
   Plan.m_Streams[0].m_Keys = KeyCount;
   Plan.m_Seed = Seed;
   Plan.m_Direct = Direct;
-  Plan.m_Precise = true;
+  Plan.m_BusyWait = true;
   Plan.m_Entrances =
       Direct ? std::vector<std::string>{DirectTarget} : Servers.entrances();
   return Plan;
@@ -64,11 +64,11 @@
   const TimePoint Begin = now();
   Load.start();
   std::this_thread::sleep_for(RunLength);
-  Observations Seen;
-  Seen.m_Requests = Load.finish();
-  Seen.m_Streams = {Stream};
-  const Duration Used = Daemon.processorTime() - Before;
-  const Measures Result = measure(Seen, {}, Config{});
+  Observations Observed;
+  Observed.m_Requests = Load.finish();
+  Observed.m_Streams = {Stream};
+  const Duration DaemonTime = Daemon.processorTime() - Before;
+  const Measures Result = measure(Observed, {}, Config{});
   for (const auto &[Reason, Count] : Result.m_Refusals)
     Out << "  attempts not done: " << Reason << " " << Count << "\n";
   const ClassMeasures &Class = Result.m_Classes.at(Stream.m_Name);
@@ -77,7 +77,7 @@
           .m_DoneShare = Result.m_DoneShare,
           .m_P50Ms = Class.m_P50Ms,
           .m_P99Ms = Class.m_P99Ms,
-          .m_DaemonCores = std::chrono::duration<double>(Used) /
+          .m_DaemonCores = std::chrono::duration<double>(DaemonTime) /
                            std::chrono::duration<double>(now() - Begin)};
 }
 
@@ -106,14 +106,14 @@
        .m_ColdTargets = false,
        .m_Relays = false});
   Servers.start();
-  const LoneTarget Alone(Options.m_Programs, Servers.folder());
+  const StandaloneTarget DirectTarget(Options.m_Programs, Servers.folder());
   std::vector<LatencyRun> Runs;
   std::uint64_t Seed = Options.m_Seed;
   for (const double Rate : Rates)
     for (std::uint32_t Round = 0; Round < 2 * Options.m_Rounds; ++Round)
       for (const bool Direct : {true, false}) {
         Runs.push_back(runOnce(Servers, Single.m_Streams.front(), Rate, Direct,
-                               ++Seed, Alone.address(), Out));
+                               ++Seed, DirectTarget.address(), Out));
         print(Runs.back(), Out);
       }
   return Runs;
--- a/bench/core/arrivals.cpp
+++ b/bench/core/arrivals.cpp
@@ -41,68 +41,69 @@
 Arrivals::Arrivals(const LoadPlan &Plan, TimePoint Start) {
   std::uint64_t Index = 0;
   for (const LoadStream &Stream : Plan.m_Streams) {
-    std::seed_seq Seeds{Plan.m_Seed, ++Index};
-    Source Each{.m_Stream = Stream,
-                .m_Random = std::mt19937_64(Seeds),
-                .m_KeyRanks = zipf(Stream.m_Keys, Stream.m_Zipf),
-                .m_Next = Start,
-                .m_KeyGeneration = 0};
-    schedule(Each, Start);
-    m_Sources.push_back(std::move(Each));
+    std::seed_seq SeedSequence{Plan.m_Seed, ++Index};
+    StreamState State{.m_Stream = Stream,
+                      .m_Random = std::mt19937_64(SeedSequence),
+                      .m_KeyRanks = zipf(Stream.m_Keys, Stream.m_Zipf),
+                      .m_Next = Start,
+                      .m_KeyGeneration = 0};
+    schedule(State, Start);
+    m_StreamStates.push_back(std::move(State));
   }
 }
 
-void Arrivals::schedule(Source &Each, TimePoint After) {
-  if (Each.m_Stream.m_Rate <= 0) {
-    Each.m_Next = TimePoint::max();
+void Arrivals::schedule(StreamState &State, TimePoint After) {
+  if (State.m_Stream.m_Rate <= 0) {
+    State.m_Next = TimePoint::max();
     return;
   }
-  std::exponential_distribution<double> Gap(Each.m_Stream.m_Rate);
-  Each.m_Next = After + std::chrono::duration_cast<Duration>(
-                            std::chrono::duration<double>(Gap(Each.m_Random)));
+  std::exponential_distribution<double> Gap(State.m_Stream.m_Rate);
+  State.m_Next =
+      After + std::chrono::duration_cast<Duration>(
+                  std::chrono::duration<double>(Gap(State.m_Random)));
 }
 
-std::string Arrivals::drawKey(Source &Each) {
-  if (!Each.m_Stream.m_Keyed)
+std::string Arrivals::drawKey(StreamState &State) {
+  if (!State.m_Stream.m_Keyed)
     return "";
-  const std::uint32_t Rank = Each.m_KeyRanks(Each.m_Random);
-  return "key-" + std::to_string(Each.m_KeyGeneration) + "-" +
+  const std::uint32_t Rank = State.m_KeyRanks(State.m_Random);
+  return "key-" + std::to_string(State.m_KeyGeneration) + "-" +
          std::to_string(Rank);
 }
 
-std::size_t Arrivals::nextSource() const {
+std::size_t Arrivals::nextStream() const {
   const auto Earliest =
-      std::ranges::min_element(m_Sources, {}, &Source::m_Next);
-  return static_cast<std::size_t>(Earliest - m_Sources.begin());
+      std::ranges::min_element(m_StreamStates, {}, &StreamState::m_Next);
+  return static_cast<std::size_t>(Earliest - m_StreamStates.begin());
 }
 
 std::optional<TimePoint> Arrivals::nextTime() const {
-  if (m_Sources.empty())
+  if (m_StreamStates.empty())
     return std::nullopt;
-  const TimePoint Time = m_Sources[nextSource()].m_Next;
+  const TimePoint Time = m_StreamStates[nextStream()].m_Next;
   if (Time == TimePoint::max())
     return std::nullopt;
   return Time;
 }
 
-Arrival Arrivals::take() {
-  const std::size_t Index = nextSource();
-  Source &Each = m_Sources[Index];
+Arrival Arrivals::takeNext() {
+  const std::size_t Index = nextStream();
+  StreamState &State = m_StreamStates[Index];
   Arrival Result{.m_Stream = static_cast<std::uint32_t>(Index),
-                 .m_Time = Each.m_Next,
-                 .m_Key = drawKey(Each)};
-  schedule(Each, Each.m_Next);
+                 .m_Time = State.m_Next,
+                 .m_Key = drawKey(State)};
+  schedule(State, State.m_Next);
   return Result;
 }
 
 void Arrivals::setRate(std::size_t Stream, double Rate, TimePoint Now) {
-  Source &Each = m_Sources.at(Stream);
-  Each.m_Stream.m_Rate = Rate;
-  schedule(Each, Now);
+  StreamState &State = m_StreamStates.at(Stream);
+  State.m_Stream.m_Rate = Rate;
+  schedule(State, Now);
 }
 
-void Arrivals::shiftKeys(std::size_t Stream) {
-  ++m_Sources.at(Stream).m_KeyGeneration;
+void Arrivals::renameKeys(std::size_t Stream) {
+  ++m_StreamStates.at(Stream).m_KeyGeneration;
 }
 
 } // namespace balsamwheel::bench
--- a/bench/core/arrivals.h
+++ b/bench/core/arrivals.h
@@ -21,12 +21,12 @@
 
   /// Time of the next arrival; none when every rate is 0.
   std::optional<TimePoint> nextTime() const;
-  Arrival take();
+  Arrival takeNext();
   void setRate(std::size_t Stream, double Rate, TimePoint Now);
-  void shiftKeys(std::size_t Stream);
+  void renameKeys(std::size_t Stream);
 
 private:
-  struct Source {
+  struct StreamState {
     LoadStream m_Stream;
     std::mt19937_64 m_Random;
     std::discrete_distribution<std::uint32_t> m_KeyRanks;
@@ -34,11 +34,11 @@
     std::uint32_t m_KeyGeneration = 0;
   };
 
-  static void schedule(Source &Each, TimePoint After);
-  static std::string drawKey(Source &Each);
-  std::size_t nextSource() const;
+  static void schedule(StreamState &State, TimePoint After);
+  static std::string drawKey(StreamState &State);
+  std::size_t nextStream() const;
 
-  std::vector<Source> m_Sources;
+  std::vector<StreamState> m_StreamStates;
 };
 
 } // namespace balsamwheel::bench
--- a/bench/core/call.cpp
+++ b/bench/core/call.cpp
@@ -80,10 +80,10 @@
     curl_easy_setopt(m_Handle, CURLOPT_POSTFIELDSIZE_LARGE,
                      static_cast<curl_off_t>(m_RequestBody.size()));
   }
-  setHeaders(Stream);
+  setRequestHeaders(Stream);
 }
 
-void Call::setHeaders(const LoadStream &Stream) {
+void Call::setRequestHeaders(const LoadStream &Stream) {
   curl_slist_free_all(m_Headers);
   m_Headers = nullptr;
   const auto Add = [this](const std::string &Name, const std::string &Value) {
@@ -133,29 +133,29 @@
 }
 
 Attempt Call::finish(CURLcode Result, bool Direct) {
-  Attempt Ended;
-  Ended.m_Sent = m_Sent;
-  Ended.m_End = now();
-  Ended.m_Entrance = m_Entrance;
+  Attempt Finished;
+  Finished.m_Sent = m_Sent;
+  Finished.m_End = now();
+  Finished.m_Entrance = m_Entrance;
   if (Result == CURLE_COULDNT_CONNECT) {
-    Ended.m_Answer = Answer::NoConnection;
-    return Ended;
+    Finished.m_Answer = Answer::NoConnection;
+    return Finished;
   }
   if (Result != CURLE_OK) {
-    Ended.m_Answer = Answer::Broken;
-    Ended.m_Reason = curl_easy_strerror(Result);
-    return Ended;
+    Finished.m_Answer = Answer::Broken;
+    Finished.m_Reason = curl_easy_strerror(Result);
+    return Finished;
   }
   long Status = 0;
   curl_easy_getinfo(m_Handle, CURLINFO_RESPONSE_CODE, &Status);
-  Ended.m_Status = static_cast<std::uint16_t>(Status);
-  Ended.m_Answer =
+  Finished.m_Status = static_cast<std::uint16_t>(Status);
+  Finished.m_Answer =
       Direct && Status == 200 ? Answer::Done : answerFromName(m_Outcome);
-  if (Ended.m_Answer == Answer::Done)
-    Ended.m_BodyWhole = isWholePayload(m_Body, m_Record->m_Id);
+  if (Finished.m_Answer == Answer::Done)
+    Finished.m_BodyIntact = isIntactPayload(m_Body, m_Record->m_Id);
   else
-    readRefusal(Ended);
-  return Ended;
+    readRefusal(Finished);
+  return Finished;
 }
 
 void Call::readRefusal(Attempt &Result) {
--- a/bench/core/call.h
+++ b/bench/core/call.h
@@ -32,7 +32,7 @@
                             void *Self);
   static std::size_t onHeader(char *Data, std::size_t Size, std::size_t Count,
                               void *Self);
-  void setHeaders(const LoadStream &Stream);
+  void setRequestHeaders(const LoadStream &Stream);
   void readHeader(std::string_view Line);
   void readRefusal(Attempt &Result);
 
--- a/bench/core/cluster.cpp
+++ b/bench/core/cluster.cpp
@@ -20,7 +20,7 @@
 constexpr Duration OperatorTimeout = std::chrono::seconds(30);
 constexpr std::uint32_t ProbesPerStream = 24;
 
-std::string local(std::uint16_t Port) {
+std::string loopbackAddress(std::uint16_t Port) {
   return "127.0.0.1:" + std::to_string(Port);
 }
 
@@ -37,29 +37,29 @@
 Cluster::Cluster(ClusterOptions Options)
     : m_Options(std::move(Options)), m_Folder(makeFolder()) {
   for (const ServerPlan &Plan : m_Options.m_Deployment.m_Servers) {
-    Server Each;
-    Each.m_Plan = Plan;
-    Each.m_PeerPort = pickFreePort();
+    Server Host;
+    Host.m_Plan = Plan;
+    Host.m_PeerPort = pickFreePort();
     if (m_Options.m_Relays) {
-      Each.m_RelayPort = pickFreePort();
-      m_Relays.add(Each.m_RelayPort, Each.m_PeerPort);
+      Host.m_RelayPort = pickFreePort();
+      m_Relays.add(Host.m_RelayPort, Host.m_PeerPort);
     }
-    Each.m_CallerPort = pickFreePort();
-    Each.m_AnnouncePort = pickFreePort();
-    Each.m_AdminPort = pickFreePort();
-    Each.m_TargetPort = pickFreePort();
-    Each.m_ControlPort = pickFreePort();
-    Each.m_Folder = m_Folder / Plan.m_Instance;
-    std::filesystem::create_directories(Each.m_Folder);
-    m_Servers.push_back(std::move(Each));
+    Host.m_CallerPort = pickFreePort();
+    Host.m_AnnouncePort = pickFreePort();
+    Host.m_AdminPort = pickFreePort();
+    Host.m_TargetPort = pickFreePort();
+    Host.m_ControlPort = pickFreePort();
+    Host.m_Folder = m_Folder / Plan.m_Instance;
+    std::filesystem::create_directories(Host.m_Folder);
+    m_Servers.push_back(std::move(Host));
   }
   m_Relays.start();
 }
 
 Cluster::~Cluster() {
-  for (Server &Each : m_Servers) {
-    Each.m_Daemon.kill();
-    Each.m_Target.kill();
+  for (Server &Host : m_Servers) {
+    Host.m_Daemon.kill();
+    Host.m_Target.kill();
   }
   m_Platform.kill();
   if (m_KeepFolder)
@@ -69,7 +69,7 @@
 }
 
 std::string Cluster::platformUrl() const {
-  return "http://" + local(m_PlatformPort);
+  return "http://" + loopbackAddress(m_PlatformPort);
 }
 
 void Cluster::start() {
@@ -94,21 +94,21 @@
   }
 }
 
-void Cluster::writeSettings(const Server &Each) const {
-  std::ofstream File(Each.m_Folder / "settings.yaml");
-  File << "instance: " << Each.m_Plan.m_Instance << "\n"
-       << "domain: " << Each.m_Plan.m_Domain << "\n"
+void Cluster::writeSettings(const Server &Host) const {
+  std::ofstream File(Host.m_Folder / "settings.yaml");
+  File << "instance: " << Host.m_Plan.m_Instance << "\n"
+       << "domain: " << Host.m_Plan.m_Domain << "\n"
        << "region: " << m_Options.m_Deployment.m_Region << "\n"
-       << "peer_address: " << local(Each.m_PeerPort) << "\n"
-       << (Each.m_RelayPort == 0
+       << "peer_address: " << loopbackAddress(Host.m_PeerPort) << "\n"
+       << (Host.m_RelayPort == 0
                ? std::string()
-               : "peer_advertised: " + local(Each.m_RelayPort) + "\n")
-       << "caller_address: " << local(Each.m_CallerPort) << "\n"
-       << "target_address: " << local(Each.m_AnnouncePort) << "\n"
-       << "admin_address: " << local(Each.m_AdminPort) << "\n"
+               : "peer_advertised: " + loopbackAddress(Host.m_RelayPort) + "\n")
+       << "caller_address: " << loopbackAddress(Host.m_CallerPort) << "\n"
+       << "target_address: " << loopbackAddress(Host.m_AnnouncePort) << "\n"
+       << "admin_address: " << loopbackAddress(Host.m_AdminPort) << "\n"
        << "platform: " << platformUrl() << "\n"
        << "log:\n  level: info\n  format: json\n  file: "
-       << (Each.m_Folder / "daemon.jsonl").string() << "\n";
+       << (Host.m_Folder / "daemon.jsonl").string() << "\n";
   if (m_Options.m_Policy.empty())
     return;
   File << "policy:\n";
@@ -126,42 +126,42 @@
   startTarget(Index, Cold);
 }
 
-void Cluster::startDaemon(Server &Each) const {
-  writeSettings(Each);
-  Each.m_Daemon = ChildProcess(
+void Cluster::startDaemon(Server &Host) const {
+  writeSettings(Host);
+  Host.m_Daemon = ChildProcess(
       {.m_Command = {m_Options.m_Programs / "balsamwheeld", "--settings",
-                     Each.m_Folder / "settings.yaml"},
-       .m_Log = Each.m_Folder / "daemon.log"});
+                     Host.m_Folder / "settings.yaml"},
+       .m_Log = Host.m_Folder / "daemon.log"});
 }
 
 void Cluster::startTarget(std::size_t Index, bool Cold) {
-  Server &Each = m_Servers.at(Index);
+  Server &Host = m_Servers.at(Index);
   std::vector<std::string> Command{
       m_Options.m_Programs / "balsamwheel-bench",
       "target",
       "--port",
-      std::to_string(Each.m_TargetPort),
+      std::to_string(Host.m_TargetPort),
       "--control-port",
-      std::to_string(Each.m_ControlPort),
+      std::to_string(Host.m_ControlPort),
       "--service",
-      Each.m_Plan.m_Service,
+      Host.m_Plan.m_Service,
       "--daemon",
-      local(Each.m_AnnouncePort),
+      loopbackAddress(Host.m_AnnouncePort),
       "--seed",
       std::to_string(m_Options.m_Seed * 100 + Index),
       "--scale",
       std::to_string(m_Options.m_TimeScale),
       "--journal",
-      Each.m_Folder / "journal.jsonl"};
+      Host.m_Folder / "journal.jsonl"};
   if (Cold)
     Command.emplace_back("--cold");
-  Each.m_Target = ChildProcess(
-      {.m_Command = std::move(Command), .m_Log = Each.m_Folder / "target.log"});
+  Host.m_Target = ChildProcess(
+      {.m_Command = std::move(Command), .m_Log = Host.m_Folder / "target.log"});
 }
 
-void Cluster::signalServer(std::size_t Index, int Number) {
-  m_Servers.at(Index).m_Daemon.signal(Number);
-  m_Servers.at(Index).m_Target.signal(Number);
+void Cluster::signalServer(std::size_t Index, int Signal) {
+  m_Servers.at(Index).m_Daemon.signal(Signal);
+  m_Servers.at(Index).m_Target.signal(Signal);
 }
 
 void Cluster::killServer(std::size_t Index) {
@@ -170,26 +170,28 @@
   m_Servers.at(Index).m_Target.kill();
 }
 
-ProgramResult Cluster::operate(std::vector<std::string> Arguments) {
+ProgramResult Cluster::runOperatorCommand(std::vector<std::string> Arguments) {
   std::vector<std::string> Command{m_Options.m_Programs / "balsamwheel",
-                                   "--platform", local(m_PlatformPort)};
+                                   "--platform",
+                                   loopbackAddress(m_PlatformPort)};
   Command.insert(Command.end(), Arguments.begin(), Arguments.end());
   return runProgram(
       {.m_Command = std::move(Command), .m_Log = m_Folder / "operator.log"},
       OperatorTimeout);
 }
 
-ChildProcess Cluster::startOperator(std::vector<std::string> Arguments) {
+ChildProcess Cluster::startOperatorCommand(std::vector<std::string> Arguments) {
   std::vector<std::string> Command{m_Options.m_Programs / "balsamwheel",
-                                   "--platform", local(m_PlatformPort)};
+                                   "--platform",
+                                   loopbackAddress(m_PlatformPort)};
   Command.insert(Command.end(), Arguments.begin(), Arguments.end());
   return ChildProcess(
       {.m_Command = std::move(Command), .m_Log = m_Folder / "operator.log"});
 }
 
 void Cluster::commitManifest() {
-  const ProgramResult Result =
-      operate({"manifest", "commit", m_Options.m_Manifest, "--base", "0"});
+  const ProgramResult Result = runOperatorCommand(
+      {"manifest", "commit", m_Options.m_Manifest, "--base", "0"});
   if (Result.m_ExitCode != 0)
     throw std::runtime_error("manifest commit failed: " + Result.m_Output);
 }
@@ -198,7 +200,8 @@
   const Server &Entrance = m_Servers[Number % m_Servers.size()];
   ClientRequest Request;
   Request.m_Method = Stream.m_Method;
-  Request.m_Url = "http://" + local(Entrance.m_CallerPort) + Stream.m_Path;
+  Request.m_Url =
+      "http://" + loopbackAddress(Entrance.m_CallerPort) + Stream.m_Path;
   Request.m_Headers = {"Balsamwheel-Service: " + Stream.m_Service,
                        "Balsamwheel-Class: " + Stream.m_Class};
   if (Stream.m_Keyed)
@@ -240,8 +243,8 @@
 std::vector<std::string> Cluster::entrances() const {
   std::vector<std::string> Result;
   Result.reserve(m_Servers.size());
-  for (const Server &Each : m_Servers)
-    Result.push_back(local(Each.m_CallerPort));
+  for (const Server &Host : m_Servers)
+    Result.push_back(loopbackAddress(Host.m_CallerPort));
   return Result;
 }
 
@@ -269,8 +272,9 @@
 }
 
 void Cluster::setTargetFault(std::size_t Index, const nlohmann::json &Fault) {
-  const std::string Url =
-      "http://" + local(m_Servers.at(Index).m_ControlPort) + "/v1/faults";
+  const std::string Url = "http://" +
+                          loopbackAddress(m_Servers.at(Index).m_ControlPort) +
+                          "/v1/faults";
   if (postJson(Url, Fault).m_Status != 200)
     throw std::runtime_error("a target did not take a fault");
 }
@@ -294,19 +298,20 @@
 }
 
 nlohmann::json Cluster::targetReport(std::size_t Index) {
-  return getJson("http://" + local(m_Servers.at(Index).m_ControlPort) +
+  return getJson("http://" +
+                 loopbackAddress(m_Servers.at(Index).m_ControlPort) +
                  "/v1/executions");
 }
 
 std::vector<InstanceExecutions> Cluster::readExecutions() const {
   std::vector<InstanceExecutions> Result;
   Result.reserve(m_Servers.size());
-  for (const Server &Each : m_Servers)
+  for (const Server &Host : m_Servers)
     Result.push_back(
-        {.m_Instance = Each.m_Plan.m_Instance,
-         .m_Domain = Each.m_Plan.m_Domain,
-         .m_Service = Each.m_Plan.m_Service,
-         .m_Orders = readJournal(Each.m_Folder / "journal.jsonl")});
+        {.m_Instance = Host.m_Plan.m_Instance,
+         .m_Domain = Host.m_Plan.m_Domain,
+         .m_Service = Host.m_Plan.m_Service,
+         .m_Orders = readJournal(Host.m_Folder / "journal.jsonl")});
   return Result;
 }
 
--- a/bench/core/cluster.h
+++ b/bench/core/cluster.h
@@ -61,7 +61,7 @@
   void start();
   std::vector<Server> &servers() { return m_Servers; }
   /// Full name of the domain with this suffix.
-  std::string domain(const std::string &Suffix) const {
+  std::string domainName(const std::string &Suffix) const {
     return m_Options.m_Deployment.m_DomainPrefix + "-" + Suffix;
   }
   std::size_t indexOf(const std::string &Instance) const;
@@ -73,13 +73,13 @@
   /// Ends a target and starts it again; its daemon stays.
   void restartTarget(std::size_t Index, bool Cold);
   /// Sends a signal to a daemon and its target.
-  void signalServer(std::size_t Index, int Number);
+  void signalServer(std::size_t Index, int Signal);
   /// Ends a daemon and its target with SIGKILL.
   void killServer(std::size_t Index);
   /// Runs the operators' command line.
-  ProgramResult operate(std::vector<std::string> Arguments);
+  ProgramResult runOperatorCommand(std::vector<std::string> Arguments);
   /// Starts the operators' command line and does not wait.
-  ChildProcess startOperator(std::vector<std::string> Arguments);
+  ChildProcess startOperatorCommand(std::vector<std::string> Arguments);
   RelayHub &relays() { return m_Relays; }
   /// Cuts servers off from all other daemons, and from the platform if asked.
   void isolate(const std::vector<std::size_t> &Indices, bool FromPlatform);
@@ -99,8 +99,8 @@
 
 private:
   std::string platformUrl() const;
-  void writeSettings(const Server &Each) const;
-  void startDaemon(Server &Each) const;
+  void writeSettings(const Server &Host) const;
+  void startDaemon(Server &Host) const;
   void startTarget(std::size_t Index, bool Cold);
   void startPlatform();
   void commitManifest();
--- a/bench/core/delay_queue.cpp
+++ b/bench/core/delay_queue.cpp
@@ -16,10 +16,10 @@
   m_Thread.join();
 }
 
-void DelayQueue::at(TimePoint Time, std::function<void()> Work) {
+void DelayQueue::runAt(TimePoint Time, std::function<void()> Task) {
   {
     const std::lock_guard Lock(m_Mutex);
-    m_Work.emplace(Time, std::move(Work));
+    m_Tasks.emplace(Time, std::move(Task));
   }
   m_Changed.notify_all();
 }
@@ -27,19 +27,19 @@
 void DelayQueue::run() {
   std::unique_lock Lock(m_Mutex);
   while (!m_Stopped) {
-    if (m_Work.empty()) {
+    if (m_Tasks.empty()) {
       m_Changed.wait(Lock);
       continue;
     }
-    const Duration Left = m_Work.begin()->first - now();
+    const Duration Left = m_Tasks.begin()->first - now();
     if (Left > Duration::zero()) {
       m_Changed.wait_for(Lock, Left);
       continue;
     }
-    const std::function<void()> Work = std::move(m_Work.begin()->second);
-    m_Work.erase(m_Work.begin());
+    const std::function<void()> Task = std::move(m_Tasks.begin()->second);
+    m_Tasks.erase(m_Tasks.begin());
     Lock.unlock();
-    Work();
+    Task();
     Lock.lock();
   }
 }
--- a/bench/core/delay_queue.h
+++ b/bench/core/delay_queue.h
@@ -19,14 +19,14 @@
   DelayQueue &operator=(const DelayQueue &) = delete;
 
   /// Runs \p Work at \p Time, at once when that has passed.
-  void at(TimePoint Time, std::function<void()> Work);
+  void runAt(TimePoint Time, std::function<void()> Task);
 
 private:
   void run();
 
   std::mutex m_Mutex;
   std::condition_variable m_Changed;
-  std::multimap<TimePoint, std::function<void()>> m_Work;
+  std::multimap<TimePoint, std::function<void()>> m_Tasks;
   bool m_Stopped = false;
   /// Last: it uses the members above.
   std::thread m_Thread;
--- a/bench/core/deployment.cpp
+++ b/bench/core/deployment.cpp
@@ -11,13 +11,13 @@
 
 constexpr std::array DomainSuffixes{"-a", "-b", "-c"};
 
-void addServers(Deployment &Target, const std::string &Service, int Count) {
+void addServers(Deployment &Result, const std::string &Service, int Count) {
   for (int Index = 0; Index < Count; ++Index) {
-    const std::size_t Domain = Target.m_Servers.size() % DomainSuffixes.size();
-    Target.m_Servers.push_back(
+    const std::size_t Domain = Result.m_Servers.size() % DomainSuffixes.size();
+    Result.m_Servers.push_back(
         {.m_Instance = Service + "-" + std::to_string(Index + 1),
          .m_Service = Service,
-         .m_Domain = Target.m_DomainPrefix + DomainSuffixes.at(Domain)});
+         .m_Domain = Result.m_DomainPrefix + DomainSuffixes.at(Domain)});
   }
 }
 
--- a/bench/core/experiment.cpp
+++ b/bench/core/experiment.cpp
@@ -21,8 +21,8 @@
 /// Prints a line each second while a run goes on.
 class Progress {
 public:
-  Progress(Rig &Observed, TimePoint Start, std::ostream &Out)
-      : m_Observed(Observed), m_Start(Start), m_Next(Start + ProgressPeriod),
+  Progress(Rig &TestRig, TimePoint Start, std::ostream &Out)
+      : m_TestRig(TestRig), m_Start(Start), m_Next(Start + ProgressPeriod),
         m_Out(Out) {}
 
   void sleepUntil(TimePoint Time) {
@@ -30,19 +30,19 @@
       std::this_thread::sleep_for(
           std::max(Duration::zero(), std::min(Time, m_Next) - now()));
       if (now() >= m_Next)
-        print();
+        printTotals();
     }
   }
 
-  void event(const std::string &Label) {
+  void printEvent(const std::string &Label) {
     m_Out << "  " << std::fixed << std::setprecision(1) << std::setw(5)
           << secondsSince(m_Start) << " s  " << Label << std::endl;
   }
 
 private:
-  void print() {
+  void printTotals() {
     m_Next = now() + ProgressPeriod;
-    const LoadTotals Totals = m_Observed.load().totals();
+    const LoadTotals Totals = m_TestRig.load().totals();
     m_Out << "  " << std::fixed << std::setprecision(1) << std::setw(5)
           << secondsSince(m_Start) << " s  sent "
           << Totals.m_Sent - m_Last.m_Sent << ", done "
@@ -51,94 +51,96 @@
     m_Last = Totals;
   }
 
-  Rig &m_Observed;
+  Rig &m_TestRig;
   TimePoint m_Start;
   TimePoint m_Next;
   std::ostream &m_Out;
   LoadTotals m_Last;
 };
 
-LoadPlan makePlan(const Scenario &Course, const Deployment &Servers,
+LoadPlan makePlan(const Scenario &Definition, const Deployment &Layout,
                   const ExperimentOptions &Options) {
   LoadPlan Plan;
-  Plan.m_Streams = Servers.m_Streams;
+  Plan.m_Streams = Layout.m_Streams;
   Plan.m_Seed = Options.m_Seed;
   for (LoadStream &Stream : Plan.m_Streams)
-    Stream.m_Rate *= Course.m_LoadFactor * Options.m_LoadFactor;
-  if (Course.m_AdjustLoad)
-    Course.m_AdjustLoad(Plan);
+    Stream.m_Rate *= Definition.m_LoadFactor * Options.m_LoadFactor;
+  if (Definition.m_AdjustLoad)
+    Definition.m_AdjustLoad(Plan);
   return Plan;
 }
 
 /// The times between actions: before the first, after each.
-std::vector<TimeWindow> makeWindows(const Scenario &Course,
-                                    const std::vector<TimePoint> &Times,
+std::vector<TimeWindow> makeWindows(const Scenario &Definition,
+                                    const std::vector<TimePoint> &ActionTimes,
                                     TimePoint Start, TimePoint End) {
   std::vector<TimeWindow> Result;
   std::string Name = "0 before";
   TimePoint From = Start;
-  for (std::size_t Index = 0; Index < Times.size(); ++Index) {
-    Result.push_back({Name, From, Times[Index]});
+  for (std::size_t Index = 0; Index < ActionTimes.size(); ++Index) {
+    Result.push_back({Name, From, ActionTimes[Index]});
     Name = std::to_string(Index + 1) +
-           " after: " + Course.m_Actions[Index].m_Label;
-    From = Times[Index];
+           " after: " + Definition.m_Actions[Index].m_Label;
+    From = ActionTimes[Index];
   }
   Result.push_back({Name, From, End});
   return Result;
 }
 
-void collectTargets(Rig &Observed, RunResult &Result) {
-  for (std::size_t Index = 0; Index < Observed.cluster().servers().size();
+void sumCollapses(Rig &TestRig, RunResult &Result) {
+  for (std::size_t Index = 0; Index < TestRig.cluster().servers().size();
        ++Index) {
-    const nlohmann::json Report = Observed.cluster().targetReport(Index);
+    const nlohmann::json Report = TestRig.cluster().targetReport(Index);
     if (Report.is_object())
       Result.m_Collapses += Report.value("collapses", std::uint64_t{0});
   }
 }
 
-RunResult runOnce(const Scenario &Course, const ExperimentOptions &Options,
+RunResult runOnce(const Scenario &Definition, const ExperimentOptions &Options,
                   const std::string &Policy, std::ostream &Out) {
-  const auto Servers = findDeployment(Options.m_Deployment);
+  const auto Layout = findDeployment(Options.m_Deployment);
   ClusterOptions ClusterSettings{
-      .m_Deployment = *Servers,
+      .m_Deployment = *Layout,
       .m_Programs = Options.m_Programs,
       .m_Manifest = Options.m_Manifests / (Options.m_Deployment + ".yaml"),
-      .m_Policy = Policy == "baseline" ? Course.m_Baseline : PolicySettings{},
+      .m_Policy =
+          Policy == "baseline" ? Definition.m_Baseline : PolicySettings{},
       .m_Seed = Options.m_Seed,
-      .m_TimeScale = Course.m_TimeScale,
-      .m_ColdTargets = Course.m_ColdTargets,
-      .m_Relays = Course.m_Relays};
-  Out << Course.m_Name << ", " << Options.m_Deployment << ", " << Policy
+      .m_TimeScale = Definition.m_TimeScale,
+      .m_ColdTargets = Definition.m_ColdTargets,
+      .m_Relays = Definition.m_Relays};
+  Out << Definition.m_Name << ", " << Options.m_Deployment << ", " << Policy
       << ", seed " << Options.m_Seed << ": starting "
-      << Servers->m_Servers.size() << " servers" << std::endl;
-  Rig Observed(ClusterSettings, makePlan(Course, *Servers, Options));
-  Observed.start();
+      << Layout->m_Servers.size() << " servers" << std::endl;
+  Rig TestRig(ClusterSettings, makePlan(Definition, *Layout, Options));
+  TestRig.start();
 
   const TimePoint Start = now();
-  Progress Shown(Observed, Start, Out);
-  std::vector<TimePoint> Times;
-  for (const TimedAction &Action : Course.m_Actions) {
-    Shown.sleepUntil(Start + Action.m_At);
-    Shown.event(Action.m_Label);
-    Times.push_back(now());
-    Action.m_Run(Observed);
+  Progress Log(TestRig, Start, Out);
+  std::vector<TimePoint> ActionTimes;
+  for (const TimedAction &Action : Definition.m_Actions) {
+    Log.sleepUntil(Start + Action.m_At);
+    Log.printEvent(Action.m_Label);
+    ActionTimes.push_back(now());
+    Action.m_Run(TestRig);
   }
-  Shown.sleepUntil(Start + Course.m_Length);
+  Log.sleepUntil(Start + Definition.m_Length);
   const TimePoint End = now();
 
   RunResult Result;
   Result.m_Policy = Policy;
-  const Observations Seen = Observed.finish();
-  const auto Version = Observed.cluster().readConfig();
-  Result.m_Violations = findViolations(Seen);
-  Result.m_Measures = measure(Seen, makeWindows(Course, Times, Start, End),
-                              Version.value_or(Config{}));
-  Result.m_Notes = Observed.notes();
-  Result.m_PlatformCounters = Observed.cluster().platformCounters();
-  Result.m_Folder = Observed.cluster().folder().string();
-  collectTargets(Observed, Result);
+  const Observations Observed = TestRig.finish();
+  const auto Committed = TestRig.cluster().readConfig();
+  Result.m_Violations = findViolations(Observed);
+  Result.m_Measures =
+      measure(Observed, makeWindows(Definition, ActionTimes, Start, End),
+              Committed.value_or(Config{}));
+  Result.m_Notes = TestRig.notes();
+  Result.m_PlatformCounters = TestRig.cluster().platformCounters();
+  Result.m_Folder = TestRig.cluster().folder().string();
+  sumCollapses(TestRig, Result);
   if (Options.m_Keep || !Result.m_Violations.empty())
-    Observed.cluster().keepFolder();
+    TestRig.cluster().keepFolder();
   return Result;
 }
 
@@ -159,14 +161,14 @@
 
 ExperimentResult runExperiment(const ExperimentOptions &Options,
                                std::ostream &Out) {
-  const Scenario &Course = *findScenario(Options.m_Scenario);
+  const Scenario &Definition = *findScenario(Options.m_Scenario);
   ExperimentResult Result;
   Result.m_Options = Options;
   for (std::uint32_t Round = 0; Round < Options.m_Rounds; ++Round) {
     if (Options.m_Policy != "baseline")
-      Result.m_Runs.push_back(runOnce(Course, Options, "policy", Out));
-    if (Options.m_Policy != "policy" && !Course.m_Baseline.empty())
-      Result.m_Runs.push_back(runOnce(Course, Options, "baseline", Out));
+      Result.m_Runs.push_back(runOnce(Definition, Options, "policy", Out));
+    if (Options.m_Policy != "policy" && !Definition.m_Baseline.empty())
+      Result.m_Runs.push_back(runOnce(Definition, Options, "baseline", Out));
   }
   return Result;
 }
--- a/bench/core/experiment_report.cpp
+++ b/bench/core/experiment_report.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t PrintedViolations = 10;
+constexpr std::size_t MaxPrintedViolations = 10;
 
 void printClasses(const std::map<std::string, ClassMeasures> &Classes,
                   std::ostream &Out) {
@@ -36,45 +36,46 @@
 }
 
 void printRun(const RunResult &Run, std::ostream &Out) {
-  const Measures &Seen = Run.m_Measures;
+  const Measures &Measured = Run.m_Measures;
   Out << "\n" << Run.m_Policy << "\n" << std::fixed << std::setprecision(3);
-  Out << "  done " << Seen.m_DoneShare << " of requests\n"
-      << "  unavailable s per shard: p50 " << Seen.m_UnavailableSeconds.m_P50
-      << ", p99 " << Seen.m_UnavailableSeconds.m_P99 << ", max "
-      << Seen.m_UnavailableSeconds.m_Max << "; " << Seen.m_ShardsHit << " of "
-      << Seen.m_Shards << " shards hit, of these p50 "
-      << Seen.m_UnavailableSecondsHit.m_P50 << "\n"
-      << "  imbalance " << Seen.m_Imbalance << " (peak to mean)\n"
-      << "  churn " << Seen.m_OwnerChanges << " owner changes, "
-      << Seen.m_ChurnShare << " per shard\n"
-      << "  orders per request " << Seen.m_Amplification << ", collapses "
+  Out << "  done " << Measured.m_DoneShare << " of requests\n"
+      << "  unavailable s per shard: p50 "
+      << Measured.m_UnavailableSeconds.m_P50 << ", p99 "
+      << Measured.m_UnavailableSeconds.m_P99 << ", max "
+      << Measured.m_UnavailableSeconds.m_Max << "; " << Measured.m_ShardsHit
+      << " of " << Measured.m_Shards << " shards hit, of these p50 "
+      << Measured.m_UnavailableSecondsOfHitShards.m_P50 << "\n"
+      << "  imbalance " << Measured.m_Imbalance << " (peak to mean)\n"
+      << "  churn " << Measured.m_OwnerChanges << " owner changes, "
+      << Measured.m_ChurnShare << " per shard\n"
+      << "  orders per request " << Measured.m_Amplification << ", collapses "
       << Run.m_Collapses << "\n";
-  printClasses(Seen.m_Classes, Out);
-  for (const auto &[Name, Classes] : Seen.m_Windows) {
+  printClasses(Measured.m_Classes, Out);
+  for (const auto &[Name, Classes] : Measured.m_Windows) {
     Out << "  window " << Name << "\n";
     printClasses(Classes, Out);
   }
   Out << "  orders by instance before the first action:";
-  for (const auto &[Instance, Orders] : Seen.m_OrdersByInstance)
+  for (const auto &[Instance, Orders] : Measured.m_OrdersByInstance)
     Out << " " << Instance << " " << Orders;
   Out << "\n  attempts not done:";
-  for (const auto &[Reason, Count] : Seen.m_Refusals)
+  for (const auto &[Reason, Count] : Measured.m_Refusals)
     Out << " [" << Reason << "] " << Count;
   Out << "\n";
   for (const std::string &Note : Run.m_Notes)
     Out << "  note: " << Note << "\n";
   Out << "  violations: " << Run.m_Violations.size() << "\n";
   for (std::size_t Index = 0;
-       Index < std::min(PrintedViolations, Run.m_Violations.size()); ++Index)
+       Index < std::min(MaxPrintedViolations, Run.m_Violations.size()); ++Index)
     Out << "    " << toString(Run.m_Violations[Index].m_Kind) << ": "
         << Run.m_Violations[Index].m_Detail << "\n";
   if (!Run.m_Violations.empty())
     Out << "  logs in " << Run.m_Folder << "\n";
 }
 
-double worstP99(const Measures &Seen) {
+double worstP99(const Measures &Measured) {
   double Worst = 0;
-  for (const auto &[Name, Class] : Seen.m_Classes)
+  for (const auto &[Name, Class] : Measured.m_Classes)
     Worst = std::max(Worst, Class.m_P99Ms);
   return Worst;
 }
@@ -93,7 +94,7 @@
      }},
     {"of shards hit, p50",
      [](const RunResult &Run) {
-       return Run.m_Measures.m_UnavailableSecondsHit.m_P50;
+       return Run.m_Measures.m_UnavailableSecondsOfHitShards.m_P50;
      }},
     {"unavailable s p99",
      [](const RunResult &Run) {
@@ -129,7 +130,7 @@
   return Count == 0 ? 0 : Sum / static_cast<double>(Count);
 }
 
-bool hasBoth(const ExperimentResult &Result) {
+bool hasPolicyAndBaseline(const ExperimentResult &Result) {
   const auto Has = [&Result](const char *Policy) {
     return std::ranges::any_of(Result.m_Runs, [Policy](const RunResult &Run) {
       return Run.m_Policy == Policy;
@@ -161,7 +162,7 @@
   Out << std::fixed;
   for (const RunResult &Run : Result.m_Runs)
     printRun(Run, Out);
-  if (hasBoth(Result))
+  if (hasPolicyAndBaseline(Result))
     printComparison(Result, Out);
   Out << "\n"
       << Result.m_Options.m_Scenario << ", seed " << Result.m_Options.m_Seed
--- a/bench/core/http_server.cpp
+++ b/bench/core/http_server.cpp
@@ -17,7 +17,7 @@
   return Found == m_Headers.end() ? std::string() : Found->second;
 }
 
-std::uint64_t ServerRequest::number(const std::string &LowerName) const {
+std::uint64_t ServerRequest::numericHeader(const std::string &LowerName) const {
   const std::string Text = header(LowerName);
   std::uint64_t Value = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Value);
@@ -122,7 +122,7 @@
   }
 
   ~Impl() {
-    dropAll();
+    closeAll();
     MHD_stop_daemon(m_Daemon);
   }
 
@@ -137,31 +137,31 @@
                               const char *Url, const char *Method, const char *,
                               const char *Data, std::size_t *Size,
                               void **Context) {
-    return static_cast<Impl *>(Self)->step(Connection, Url, Method, Data, Size,
-                                           Context);
+    return static_cast<Impl *>(Self)->handleStep(Connection, Url, Method, Data,
+                                                 Size, Context);
   }
 
   static void onCompleted(void *Self, MHD_Connection *, void **Context,
                           MHD_RequestTerminationCode) {
-    auto *Held = static_cast<ExchangePtr *>(*Context);
-    if (Held == nullptr)
+    auto *Current = static_cast<ExchangePtr *>(*Context);
+    if (Current == nullptr)
       return;
-    (*Held)->close();
-    static_cast<Impl *>(Self)->forget(*Held);
-    delete Held;
+    (*Current)->close();
+    static_cast<Impl *>(Self)->removeOpen(*Current);
+    delete Current;
     *Context = nullptr;
   }
 
-  MHD_Result step(MHD_Connection *Connection, const char *Url,
-                  const char *Method, const char *Data, std::size_t *Size,
-                  void **Context) {
+  MHD_Result handleStep(MHD_Connection *Connection, const char *Url,
+                        const char *Method, const char *Data, std::size_t *Size,
+                        void **Context) {
     if (*Context == nullptr) {
       auto Opened = std::make_shared<Exchange>(Connection);
       Opened->m_Request.m_Method = Method;
       Opened->m_Request.m_Path = Url;
       MHD_get_connection_values(Connection, MHD_HEADER_KIND, &collectHeader,
                                 &Opened->m_Request.m_Headers);
-      remember(Opened);
+      addOpen(Opened);
       *Context = new ExchangePtr(std::move(Opened));
       return MHD_YES;
     }
@@ -181,17 +181,17 @@
     return Current.queueAnswer();
   }
 
-  void remember(const ExchangePtr &Opened) {
+  void addOpen(const ExchangePtr &Opened) {
     const std::lock_guard Lock(m_Mutex);
     m_Open.insert(Opened);
   }
 
-  void forget(const ExchangePtr &Ended) {
+  void removeOpen(const ExchangePtr &Ended) {
     const std::lock_guard Lock(m_Mutex);
     m_Open.erase(Ended);
   }
 
-  void dropAll() {
+  void closeAll() {
     std::set<ExchangePtr> Open;
     {
       const std::lock_guard Lock(m_Mutex);
--- a/bench/core/http_server.h
+++ b/bench/core/http_server.h
@@ -22,7 +22,7 @@
   /// Returns a header's value, or an empty string.
   std::string header(const std::string &LowerName) const;
   /// Returns a header as a number, 0 when absent or no number.
-  std::uint64_t number(const std::string &LowerName) const;
+  std::uint64_t numericHeader(const std::string &LowerName) const;
 };
 
 struct ServerAnswer {
--- a/bench/core/journal.cpp
+++ b/bench/core/journal.cpp
@@ -48,7 +48,7 @@
     throw std::runtime_error("cannot write the journal");
 }
 
-void Journal::began(std::uint64_t Ticket, const Execution &Order) {
+void Journal::recordStart(std::uint64_t Ticket, const Execution &Order) {
   if (m_File < 0)
     return;
   const Json Line = {
@@ -59,7 +59,7 @@
   write(Line.dump() + "\n");
 }
 
-void Journal::ended(std::uint64_t Ticket, const Execution &Order) {
+void Journal::recordEnd(std::uint64_t Ticket, const Execution &Order) {
   if (m_File < 0 || !Order.m_End)
     return;
   const Json Line = {{"ticket", ticketName(Ticket)},
--- a/bench/core/journal.h
+++ b/bench/core/journal.h
@@ -18,8 +18,8 @@
   Journal(const Journal &) = delete;
   Journal &operator=(const Journal &) = delete;
 
-  void began(std::uint64_t Ticket, const Execution &Order);
-  void ended(std::uint64_t Ticket, const Execution &Order);
+  void recordStart(std::uint64_t Ticket, const Execution &Order);
+  void recordEnd(std::uint64_t Ticket, const Execution &Order);
 
 private:
   void write(const std::string &Line) const;
--- a/bench/core/load_generator.cpp
+++ b/bench/core/load_generator.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 /// An entrance that could not be reached is left out for this long.
-constexpr Duration EntranceHold = std::chrono::seconds(1);
-constexpr Duration LeastRetryDelay = std::chrono::milliseconds(20);
+constexpr Duration EntranceBackOff = std::chrono::seconds(1);
+constexpr Duration MinRetryDelay = std::chrono::milliseconds(20);
 constexpr long MaxIdleConnections = 4096;
 
 } // namespace
@@ -27,14 +27,14 @@
 public:
   explicit Impl(LoadPlan Plan)
       : m_Plan(std::move(Plan)), m_Random(m_Plan.m_Seed),
-        m_HeldUntil(m_Plan.m_Entrances.size()), m_Multi(curl_multi_init()) {
+        m_BackOffUntil(m_Plan.m_Entrances.size()), m_Multi(curl_multi_init()) {
     curl_multi_setopt(m_Multi, CURLMOPT_MAXCONNECTS, MaxIdleConnections);
     curl_multi_setopt(m_Multi, CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
   }
 
   ~Impl() {
     finish();
-    m_Idle.clear();
+    m_IdleCalls.clear();
     curl_multi_cleanup(m_Multi);
   }
 
@@ -56,9 +56,9 @@
     m_Arrivals->setRate(Stream, Rate, now());
   }
 
-  void shiftKeys(std::size_t Stream) {
+  void renameKeys(std::size_t Stream) {
     const std::lock_guard Lock(m_Mutex);
-    m_Arrivals->shiftKeys(Stream);
+    m_Arrivals->renameKeys(Stream);
   }
 
   LoadTotals totals() const {
@@ -67,15 +67,15 @@
 
 private:
   void run() {
-    while (!m_Stopping || !m_Open.empty() || !m_Retries.empty()) {
+    while (!m_Stopping || !m_OpenCalls.empty() || !m_Retries.empty()) {
       const TimePoint Now = now();
       if (!m_Stopping)
         sendDue(Now);
       sendRetries(Now);
       int Running = 0;
       curl_multi_perform(m_Multi, &Running);
-      collect();
-      pause();
+      collectFinished();
+      waitForActivity();
     }
   }
 
@@ -83,7 +83,7 @@
     const std::lock_guard Lock(m_Mutex);
     for (auto Next = m_Arrivals->nextTime(); Next && *Next <= Now;
          Next = m_Arrivals->nextTime()) {
-      const Arrival Arrived = m_Arrivals->take();
+      const Arrival Arrived = m_Arrivals->takeNext();
       m_Records.push_back({.m_Id = "r" + std::to_string(m_Plan.m_Seed) + "-" +
                                    std::to_string(m_Records.size()),
                            .m_Stream = Arrived.m_Stream,
@@ -110,92 +110,94 @@
                      m_Plan.m_Entrances[Entrance], Entrance);
     curl_multi_add_handle(m_Multi, Current->handle());
     CURL *Handle = Current->handle();
-    m_Open.emplace(Handle, std::move(Current));
+    m_OpenCalls.emplace(Handle, std::move(Current));
   }
 
   std::unique_ptr<Call> takeCall() {
-    if (m_Idle.empty())
+    if (m_IdleCalls.empty())
       return std::make_unique<Call>();
-    std::unique_ptr<Call> Result = std::move(m_Idle.back());
-    m_Idle.pop_back();
+    std::unique_ptr<Call> Result = std::move(m_IdleCalls.back());
+    m_IdleCalls.pop_back();
     return Result;
   }
 
   std::uint32_t pickEntrance(const RequestRecord &Record) {
-    const auto Hint = m_Hints.find(hintKey(Record));
+    const auto Hint = m_OwnerHints.find(hintKey(Record));
     std::bernoulli_distribution FollowHint(m_Plan.m_HintShare);
-    if (Record.m_Attempts.empty() && Hint != m_Hints.end() &&
+    if (Record.m_Attempts.empty() && Hint != m_OwnerHints.end() &&
         FollowHint(m_Random))
       return Hint->second;
-    std::uniform_int_distribution<std::uint32_t> Any(
+    std::uniform_int_distribution<std::uint32_t> AnyEntrance(
         0, static_cast<std::uint32_t>(m_Plan.m_Entrances.size()) - 1);
     const TimePoint Now = now();
-    std::uint32_t Picked = Any(m_Random);
-    for (std::size_t Try = 0; Try < m_HeldUntil.size(); ++Try) {
-      if (m_HeldUntil[Picked] <= Now)
+    std::uint32_t Entrance = AnyEntrance(m_Random);
+    for (std::size_t Try = 0; Try < m_BackOffUntil.size(); ++Try) {
+      if (m_BackOffUntil[Entrance] <= Now)
         break;
-      Picked = Any(m_Random);
+      Entrance = AnyEntrance(m_Random);
     }
-    return Picked;
+    return Entrance;
   }
 
   std::string hintKey(const RequestRecord &Record) const {
     return m_Plan.m_Streams[Record.m_Stream].m_Service + "/" + Record.m_Key;
   }
 
-  void collect() {
-    int Left = 0;
-    while (CURLMsg *Message = curl_multi_info_read(m_Multi, &Left)) {
+  void collectFinished() {
+    int Remaining = 0;
+    while (CURLMsg *Message = curl_multi_info_read(m_Multi, &Remaining)) {
       if (Message->msg != CURLMSG_DONE)
         continue;
       const CURLcode Result = Message->data.result;
-      const auto Found = m_Open.find(Message->easy_handle);
-      std::unique_ptr<Call> Ended = std::move(Found->second);
-      m_Open.erase(Found);
-      curl_multi_remove_handle(m_Multi, Ended->handle());
-      settle(*Ended, Result);
-      m_Idle.push_back(std::move(Ended));
+      const auto Found = m_OpenCalls.find(Message->easy_handle);
+      std::unique_ptr<Call> Finished = std::move(Found->second);
+      m_OpenCalls.erase(Found);
+      curl_multi_remove_handle(m_Multi, Finished->handle());
+      complete(*Finished, Result);
+      m_IdleCalls.push_back(std::move(Finished));
     }
   }
 
-  void settle(Call &Ended, CURLcode Result) {
-    RequestRecord &Record = Ended.record();
-    Record.m_Attempts.push_back(Ended.finish(Result, m_Plan.m_Direct));
-    const Attempt &Last = Record.m_Attempts.back();
-    learn(Record, Last, Ended.ownerHint());
-    if (Last.m_Answer == Answer::Done) {
+  void complete(Call &Finished, CURLcode Result) {
+    RequestRecord &Record = Finished.record();
+    Record.m_Attempts.push_back(Finished.finish(Result, m_Plan.m_Direct));
+    const Attempt &LastAttempt = Record.m_Attempts.back();
+    updateHints(Record, LastAttempt, Finished.ownerHint());
+    if (LastAttempt.m_Answer == Answer::Done) {
       ++m_Done;
       return;
     }
-    if (!retry(Record, Ended.retryAfter()))
+    if (!scheduleRetry(Record, Finished.retryAfter()))
       ++m_Failed;
   }
 
-  void learn(const RequestRecord &Record, const Attempt &Last,
-             const std::string &OwnerHint) {
-    if (Last.m_Answer == Answer::NoConnection ||
-        Last.m_Answer == Answer::Broken)
-      m_HeldUntil[Last.m_Entrance] = Last.m_End + EntranceHold;
+  void updateHints(const RequestRecord &Record, const Attempt &LastAttempt,
+                   const std::string &OwnerHint) {
+    if (LastAttempt.m_Answer == Answer::NoConnection ||
+        LastAttempt.m_Answer == Answer::Broken)
+      m_BackOffUntil[LastAttempt.m_Entrance] =
+          LastAttempt.m_End + EntranceBackOff;
     if (Record.m_Key.empty())
       return;
-    if (Last.m_Answer != Answer::Done)
-      m_Hints.erase(hintKey(Record));
+    if (LastAttempt.m_Answer != Answer::Done)
+      m_OwnerHints.erase(hintKey(Record));
     const auto Owner = std::ranges::find(m_Plan.m_Entrances, OwnerHint);
     if (Owner != m_Plan.m_Entrances.end())
-      m_Hints[hintKey(Record)] =
+      m_OwnerHints[hintKey(Record)] =
           static_cast<std::uint32_t>(Owner - m_Plan.m_Entrances.begin());
   }
 
-  bool retry(RequestRecord &Record, Duration RetryAfter) {
-    const TimePoint Again = now() + std::max(RetryAfter, LeastRetryDelay);
+  bool scheduleRetry(RequestRecord &Record, Duration RetryAfter) {
+    const TimePoint RetryAt = now() + std::max(RetryAfter, MinRetryDelay);
     if (Record.m_Attempts.size() >= m_Plan.m_MaxAttempts ||
-        Again > Record.m_Intended + m_Plan.m_Patience || staysUnknown(Record))
+        RetryAt > Record.m_Intended + m_Plan.m_GiveUpAfter ||
+        exceedsUnknownRetries(Record))
       return false;
-    m_Retries.emplace(Again, &Record);
+    m_Retries.emplace(RetryAt, &Record);
     return true;
   }
 
-  bool staysUnknown(const RequestRecord &Record) const {
+  bool exceedsUnknownRetries(const RequestRecord &Record) const {
     if (m_Plan.m_Streams[Record.m_Stream].m_Idempotent)
       return false;
     const auto Unknown = std::ranges::count(Record.m_Attempts, Answer::Unknown,
@@ -203,21 +205,22 @@
     return Unknown > m_Plan.m_UnknownRetries;
   }
 
-  void pause() {
-    Duration Left = std::chrono::milliseconds(20);
+  void waitForActivity() {
+    Duration Remaining = std::chrono::milliseconds(20);
     const TimePoint Now = now();
     if (!m_Stopping) {
       const std::lock_guard Lock(m_Mutex);
       if (const auto Next = m_Arrivals->nextTime())
-        Left = std::min(Left, *Next - Now);
+        Remaining = std::min(Remaining, *Next - Now);
     }
     if (!m_Retries.empty())
-      Left = std::min(Left, m_Retries.begin()->first - Now);
-    if (Left <= Duration::zero())
+      Remaining = std::min(Remaining, m_Retries.begin()->first - Now);
+    if (Remaining <= Duration::zero())
       return;
     const auto Milliseconds =
-        std::chrono::duration_cast<std::chrono::milliseconds>(Left).count();
-    if (Milliseconds == 0 && m_Plan.m_Precise)
+        std::chrono::duration_cast<std::chrono::milliseconds>(Remaining)
+            .count();
+    if (Milliseconds == 0 && m_Plan.m_BusyWait)
       return;
     curl_multi_poll(m_Multi, nullptr, 0,
                     std::max(static_cast<int>(Milliseconds), 1), nullptr);
@@ -231,11 +234,11 @@
   /// A deque: calls point to its elements.
   std::deque<RequestRecord> m_Records;
   std::multimap<TimePoint, RequestRecord *> m_Retries;
-  std::unordered_map<std::string, std::uint32_t> m_Hints;
-  std::vector<TimePoint> m_HeldUntil;
+  std::unordered_map<std::string, std::uint32_t> m_OwnerHints;
+  std::vector<TimePoint> m_BackOffUntil;
   CURLM *m_Multi;
-  std::unordered_map<CURL *, std::unique_ptr<Call>> m_Open;
-  std::vector<std::unique_ptr<Call>> m_Idle;
+  std::unordered_map<CURL *, std::unique_ptr<Call>> m_OpenCalls;
+  std::vector<std::unique_ptr<Call>> m_IdleCalls;
   std::atomic<std::uint64_t> m_Sent = 0;
   std::atomic<std::uint64_t> m_Done = 0;
   std::atomic<std::uint64_t> m_Failed = 0;
@@ -256,7 +259,9 @@
   m_Impl->setRate(Stream, Rate);
 }
 
-void LoadGenerator::shiftKeys(std::size_t Stream) { m_Impl->shiftKeys(Stream); }
+void LoadGenerator::renameKeys(std::size_t Stream) {
+  m_Impl->renameKeys(Stream);
+}
 
 LoadTotals LoadGenerator::totals() const { return m_Impl->totals(); }
 
--- a/bench/core/load_generator.h
+++ b/bench/core/load_generator.h
@@ -31,7 +31,7 @@
   /// Changes the rate of a stream from now on. Thread-safe.
   void setRate(std::size_t Stream, double Rate);
   /// Renames every key of a stream, so that the hot ones change. Thread-safe.
-  void shiftKeys(std::size_t Stream);
+  void renameKeys(std::size_t Stream);
   LoadTotals totals() const;
 
 private:
--- a/bench/core/load_plan.h
+++ b/bench/core/load_plan.h
@@ -36,7 +36,7 @@
   /// Sends of one request, the first included.
   std::uint32_t m_MaxAttempts = 200;
   /// A caller gives up this long after the intended send.
-  Duration m_Patience = std::chrono::seconds(8);
+  Duration m_GiveUpAfter = std::chrono::seconds(8);
   /// Times that a caller asks again about a non-idempotent request after an
   /// unknown outcome.
   std::uint32_t m_UnknownRetries = 2;
@@ -45,7 +45,7 @@
   /// The entrances are targets: an answer with status 200 is done.
   bool m_Direct = false;
   /// Spins between sends for exact send times.
-  bool m_Precise = false;
+  bool m_BusyWait = false;
 };
 
 /// How one attempt ended for its caller.
@@ -74,7 +74,7 @@
   std::uint16_t m_Status = 0;
   std::string m_Reason;
   /// For Done: the body is whole and answers this request.
-  bool m_BodyWhole = false;
+  bool m_BodyIntact = false;
 };
 
 /// A request and everything its caller was told.
--- a/bench/core/measures.cpp
+++ b/bench/core/measures.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// An answer later than this counts as unavailable time.
-constexpr Duration SlowAnswer = std::chrono::milliseconds(500);
+constexpr Duration SlowAttemptThreshold = std::chrono::milliseconds(500);
 
 double toMillis(Duration Value) {
   return std::chrono::duration<double, std::milli>(Value).count();
@@ -57,27 +57,29 @@
 using ShardKey = std::pair<std::string, std::uint32_t>;
 
 /// A time without service, as one caller saw it.
-struct Gap {
+struct Outage {
   TimePoint m_From;
   TimePoint m_To;
 };
 
-struct SeenAttempt {
+struct ShardAttempt {
   TimePoint m_Begin;
   TimePoint m_End;
   bool m_Served;
 };
 
 /// The attempts for each shard, without refusals for load.
-std::map<ShardKey, std::vector<SeenAttempt>>
+std::map<ShardKey, std::vector<ShardAttempt>>
 attemptsByShard(const Observations &Observed, const Manifest &Services) {
-  std::map<ShardKey, std::vector<SeenAttempt>> Result;
+  std::map<ShardKey, std::vector<ShardAttempt>> Result;
   for (const RequestRecord &Request : Observed.m_Requests) {
     const LoadStream &Stream = Observed.m_Streams[Request.m_Stream];
-    const Service *Found = Services.findService(ServiceName(Stream.m_Service));
-    if (Found == nullptr || !Found->m_DividedByKey)
+    const Service *FoundService =
+        Services.findService(ServiceName(Stream.m_Service));
+    if (FoundService == nullptr || !FoundService->m_DividedByKey)
       continue;
-    const ShardIndex Shard = shardOf(hashKey(Request.m_Key), Found->m_Shards);
+    const ShardIndex Shard =
+        shardOf(hashKey(Request.m_Key), FoundService->m_Shards);
     auto &List = Result[{Stream.m_Service, Shard.value()}];
     bool First = true;
     for (const Attempt &Each : Request.m_Attempts) {
@@ -92,24 +94,24 @@
 
 /// Sums the union of gaps: from an attempt that failed to the end of the next
 /// one that was served, and the whole of a slow attempt.
-double unavailableSeconds(std::vector<SeenAttempt> Attempts) {
-  std::ranges::sort(Attempts, {}, &SeenAttempt::m_Begin);
+double unavailableSeconds(std::vector<ShardAttempt> Attempts) {
+  std::ranges::sort(Attempts, {}, &ShardAttempt::m_Begin);
   TimePoint Next = TimePoint::max();
-  std::vector<Gap> Gaps;
+  std::vector<Outage> Outages;
   for (auto Each = Attempts.rbegin(); Each != Attempts.rend(); ++Each) {
     if (Each->m_Served) {
       Next = Each->m_End;
-      if (Each->m_End - Each->m_Begin > SlowAnswer)
-        Gaps.push_back({Each->m_Begin, Each->m_End});
+      if (Each->m_End - Each->m_Begin > SlowAttemptThreshold)
+        Outages.push_back({Each->m_Begin, Each->m_End});
       continue;
     }
-    Gaps.push_back(
+    Outages.push_back(
         {Each->m_Begin, Next == TimePoint::max() ? Each->m_End : Next});
   }
-  std::ranges::sort(Gaps, {}, &Gap::m_From);
+  std::ranges::sort(Outages, {}, &Outage::m_From);
   Duration Sum{0};
   TimePoint Covered{};
-  for (const Gap &Each : Gaps) {
+  for (const Outage &Each : Outages) {
     const TimePoint From = std::max(Each.m_From, Covered);
     if (Each.m_To <= From)
       continue;
@@ -119,7 +121,7 @@
   return toSeconds(Sum);
 }
 
-Spread spreadOf(const std::vector<double> &Values) {
+Quantiles quantilesOf(const std::vector<double> &Values) {
   return {.m_P50 = quantile(Values, 0.50),
           .m_P99 = quantile(Values, 0.99),
           .m_Max = quantile(Values, 1.0)};
@@ -133,9 +135,9 @@
   Result.m_Shards = Seconds.size();
   Result.m_ShardsHit = static_cast<std::size_t>(
       std::ranges::count_if(Seconds, [](double Each) { return Each > 0; }));
-  Result.m_UnavailableSeconds = spreadOf(Seconds);
+  Result.m_UnavailableSeconds = quantilesOf(Seconds);
   std::erase_if(Seconds, [](double Each) { return Each <= 0; });
-  Result.m_UnavailableSecondsHit = spreadOf(Seconds);
+  Result.m_UnavailableSecondsOfHitShards = quantilesOf(Seconds);
 }
 
 void countByInstance(const Observations &Observed, const TimeWindow &Window,
@@ -167,18 +169,19 @@
 
 void measureChurn(const Observations &Observed, TimePoint From,
                   Measures &Result) {
-  struct Served {
+  struct ServedOrder {
     TimePoint m_Time;
     const InstanceExecutions *m_Instance;
   };
-  std::map<std::pair<std::string, std::string>, std::vector<Served>> Shards;
+  std::map<std::pair<std::string, std::string>, std::vector<ServedOrder>>
+      Shards;
   for (const InstanceExecutions &Instance : Observed.m_Instances)
     for (const Execution &Order : Instance.m_Orders)
       if (!Order.m_Key.empty() && Order.m_Start >= From)
         Shards[{Order.m_Service, Order.m_Shard}].push_back(
             {Order.m_Start, &Instance});
   for (auto &[Shard, List] : Shards) {
-    std::ranges::sort(List, {}, &Served::m_Time);
+    std::ranges::sort(List, {}, &ServedOrder::m_Time);
     for (std::size_t Index = 1; Index < List.size(); ++Index)
       if (List[Index].m_Instance != List[Index - 1].m_Instance)
         ++Result.m_OwnerChanges;
@@ -233,25 +236,25 @@
 
 } // namespace
 
-double quantile(std::vector<double> Values, double Share) {
+double quantile(std::vector<double> Values, double Fraction) {
   if (Values.empty())
     return 0;
   std::ranges::sort(Values);
   const auto Rank = static_cast<std::size_t>(
-      std::ceil(Share * static_cast<double>(Values.size())));
+      std::ceil(Fraction * static_cast<double>(Values.size())));
   return Values[std::clamp<std::size_t>(Rank, 1, Values.size()) - 1];
 }
 
 Measures measure(const Observations &Observed,
                  const std::vector<TimeWindow> &Windows,
-                 const Config &Version) {
+                 const Config &CommittedConfig) {
   Measures Result;
   Result.m_Classes =
       measureClasses(Observed, TimePoint::min(), TimePoint::max());
   for (const TimeWindow &Window : Windows)
     Result.m_Windows[Window.m_Name] =
         measureClasses(Observed, Window.m_From, Window.m_To);
-  measureUnavailable(Observed, Version.m_Manifest, Result);
+  measureUnavailable(Observed, CommittedConfig.m_Manifest, Result);
   if (!Windows.empty()) {
     countByInstance(Observed, Windows.front(), Result);
     Result.m_Imbalance = imbalanceOf(Observed, Result);
@@ -274,8 +277,8 @@
            {{"p50", Value.m_UnavailableSeconds.m_P50},
             {"p99", Value.m_UnavailableSeconds.m_P99},
             {"max", Value.m_UnavailableSeconds.m_Max},
-            {"hit_p50", Value.m_UnavailableSecondsHit.m_P50},
-            {"hit_p99", Value.m_UnavailableSecondsHit.m_P99},
+            {"hit_p50", Value.m_UnavailableSecondsOfHitShards.m_P50},
+            {"hit_p99", Value.m_UnavailableSecondsOfHitShards.m_P99},
             {"shards_hit", Value.m_ShardsHit},
             {"shards", Value.m_Shards}}},
           {"imbalance", Value.m_Imbalance},
--- a/bench/core/measures.h
+++ b/bench/core/measures.h
@@ -26,7 +26,7 @@
   TimePoint m_To;
 };
 
-struct Spread {
+struct Quantiles {
   double m_P50 = 0;
   double m_P99 = 0;
   double m_Max = 0;
@@ -38,9 +38,9 @@
   /// By window and stream.
   std::map<std::string, std::map<std::string, ClassMeasures>> m_Windows;
   /// Seconds without service, over all shards that callers asked for.
-  Spread m_UnavailableSeconds;
+  Quantiles m_UnavailableSeconds;
   /// The same over shards with any such time.
-  Spread m_UnavailableSecondsHit;
+  Quantiles m_UnavailableSecondsOfHitShards;
   std::size_t m_ShardsHit = 0;
   std::size_t m_Shards = 0;
   /// Largest over mean orders per instance, worst service, first window.
@@ -60,10 +60,11 @@
 
 /// Computes the measures. Complexity: linear but for sorting.
 Measures measure(const Observations &Observed,
-                 const std::vector<TimeWindow> &Windows, const Config &Version);
+                 const std::vector<TimeWindow> &Windows,
+                 const Config &CommittedConfig);
 
 /// Returns a quantile of values; 0 when there are none.
-double quantile(std::vector<double> Values, double Share);
+double quantile(std::vector<double> Values, double Fraction);
 
 nlohmann::json toJson(const Measures &Value);
 
--- a/bench/core/oracle.cpp
+++ b/bench/core/oracle.cpp
@@ -45,7 +45,7 @@
   return Result;
 }
 
-bool saysNotRun(const Attempt &Each) {
+bool reportsNotRun(const Attempt &Each) {
   return Each.m_Answer == Answer::NotRun || Each.m_Answer == Answer::Wait;
 }
 
@@ -54,9 +54,9 @@
 public:
   RequestCheck(const RequestRecord &Request, bool Idempotent,
                const std::vector<PlacedExecution> &Orders,
-               std::vector<Violation> &Found)
+               std::vector<Violation> &Violations)
       : m_Request(Request), m_Idempotent(Idempotent), m_Orders(Orders),
-        m_Found(Found) {}
+        m_Violations(Violations) {}
 
   void run() {
     if (!m_Idempotent && m_Orders.size() > 1)
@@ -73,21 +73,22 @@
     std::string Detail = describe(m_Request);
     for (const PlacedExecution &Order : m_Orders)
       Detail += "; ran at " + describe(Order);
-    m_Found.push_back({Kind, std::move(Detail)});
+    m_Violations.push_back({Kind, std::move(Detail)});
   }
 
   /// "Not run" holds for the request so far, and until the next attempt.
   void checkNotRun() {
     for (std::size_t Index = 0; Index < m_Request.m_Attempts.size(); ++Index) {
       const Attempt &Each = m_Request.m_Attempts[Index];
-      if (!saysNotRun(Each))
+      if (!reportsNotRun(Each))
         continue;
       const bool IsLast = Index + 1 == m_Request.m_Attempts.size();
-      const TimePoint Until =
+      const TimePoint NextSend =
           IsLast ? TimePoint::max() : m_Request.m_Attempts[Index + 1].m_Sent;
-      if (std::ranges::any_of(m_Orders, [Until](const PlacedExecution &Order) {
-            return Order.m_Order->m_Start < Until;
-          }))
+      if (std::ranges::any_of(m_Orders,
+                              [NextSend](const PlacedExecution &Order) {
+                                return Order.m_Order->m_Start < NextSend;
+                              }))
         return report(ViolationKind::FalseNotRun);
     }
   }
@@ -96,7 +97,7 @@
   /// own attempt: only when all say "not run" nothing may have run.
   void checkNotRunIdempotent() {
     const auto &Attempts = m_Request.m_Attempts;
-    if (!Attempts.empty() && std::ranges::all_of(Attempts, saysNotRun) &&
+    if (!Attempts.empty() && std::ranges::all_of(Attempts, reportsNotRun) &&
         !m_Orders.empty())
       report(ViolationKind::FalseNotRun);
   }
@@ -105,7 +106,7 @@
     for (const Attempt &Each : m_Request.m_Attempts) {
       if (Each.m_Answer != Answer::Done)
         continue;
-      if (!Each.m_BodyWhole)
+      if (!Each.m_BodyIntact)
         report(ViolationKind::WrongBody);
       if (std::ranges::none_of(m_Orders, [](const PlacedExecution &Order) {
             return Order.m_Order->m_Completed;
@@ -117,16 +118,16 @@
   const RequestRecord &m_Request;
   bool m_Idempotent;
   const std::vector<PlacedExecution> &m_Orders;
-  std::vector<Violation> &m_Found;
+  std::vector<Violation> &m_Violations;
 };
 
 void checkRequests(const Observations &Observed, const ExecutionsById &ById,
-                   std::vector<Violation> &Found) {
+                   std::vector<Violation> &Violations) {
   const std::vector<PlacedExecution> None;
   for (const RequestRecord &Request : Observed.m_Requests) {
     const auto Orders = ById.find(Request.m_Id);
     RequestCheck(Request, Observed.m_Streams[Request.m_Stream].m_Idempotent,
-                 Orders == ById.end() ? None : Orders->second, Found)
+                 Orders == ById.end() ? None : Orders->second, Violations)
         .run();
   }
 }
@@ -134,20 +135,20 @@
 /// Checks the orders of one key, sorted by start.
 void checkKey(const std::string &Key,
               const std::vector<PlacedExecution> &Orders,
-              std::vector<Violation> &Found) {
-  const PlacedExecution *Newest = nullptr;
+              std::vector<Violation> &Violations) {
+  const PlacedExecution *HighestEpoch = nullptr;
   std::map<const InstanceExecutions *, const PlacedExecution *> LastToEnd;
   for (const PlacedExecution &Order : Orders) {
     const std::string Detail = Key + ": " + describe(Order);
-    if (Newest && Order.m_Order->m_Epoch < Newest->m_Order->m_Epoch)
-      Found.push_back(
-          {ViolationKind::OldEpoch, Detail + " after " + describe(*Newest)});
+    if (HighestEpoch && Order.m_Order->m_Epoch < HighestEpoch->m_Order->m_Epoch)
+      Violations.push_back({ViolationKind::OldEpoch,
+                            Detail + " after " + describe(*HighestEpoch)});
     else
-      Newest = &Order;
+      HighestEpoch = &Order;
     for (const auto &[Instance, Last] : LastToEnd)
       if (Instance != Order.m_Instance && Last->m_Order->m_End &&
           *Last->m_Order->m_End > Order.m_Order->m_Start)
-        Found.push_back(
+        Violations.push_back(
             {ViolationKind::TwoOwners, Detail + " during " + describe(*Last)});
     const PlacedExecution *&Last = LastToEnd[Order.m_Instance];
     if (Order.m_Order->m_End &&
@@ -158,7 +159,8 @@
   }
 }
 
-void checkOwners(const Observations &Observed, std::vector<Violation> &Found) {
+void checkOwners(const Observations &Observed,
+                 std::vector<Violation> &Violations) {
   std::unordered_map<std::string, std::vector<PlacedExecution>> ByKey;
   for (const InstanceExecutions &Instance : Observed.m_Instances)
     for (const Execution &Order : Instance.m_Orders)
@@ -169,27 +171,27 @@
     std::ranges::stable_sort(Orders, {}, [](const PlacedExecution &Each) {
       return Each.m_Order->m_Start;
     });
-    checkKey(Key, Orders, Found);
+    checkKey(Key, Orders, Violations);
   }
 }
 
-void checkNoNewWork(const Observations &Observed,
-                    std::vector<Violation> &Found) {
-  for (const QuietWindow &Window : Observed.m_NoNewWork)
+void checkNoStartWindows(const Observations &Observed,
+                         std::vector<Violation> &Violations) {
+  for (const NoStartWindow &Window : Observed.m_NoStartWindows)
     for (const InstanceExecutions &Instance : Observed.m_Instances) {
       if (Instance.m_Instance != Window.m_Instance)
         continue;
       for (const Execution &Order : Instance.m_Orders)
         if (Order.m_Start >= Window.m_From && Order.m_Start < Window.m_To)
-          Found.push_back({ViolationKind::LateWork,
-                           Order.m_RequestId + " ran at " +
-                               describe({&Order, &Instance}) + ", quiet from " +
-                               std::to_string(toMicros(Window.m_From))});
+          Violations.push_back(
+              {ViolationKind::LateWork,
+               Order.m_RequestId + " ran at " + describe({&Order, &Instance}) +
+                   ", quiet from " + std::to_string(toMicros(Window.m_From))});
     }
 }
 
 void checkShutdown(const ShutdownWindow &Window, const Observations &Observed,
-                   std::vector<Violation> &Found) {
+                   std::vector<Violation> &Violations) {
   const auto Inside = [&Window](TimePoint Time) {
     return Time >= Window.m_From && Time <= Window.m_To;
   };
@@ -197,13 +199,14 @@
     for (const Attempt &Each : Request.m_Attempts)
       if (Each.m_Answer == Answer::Broken &&
           Each.m_Entrance == Window.m_Entrance && Inside(Each.m_End))
-        Found.push_back({ViolationKind::Cut, describe(Request)});
+        Violations.push_back({ViolationKind::Cut, describe(Request)});
   for (const InstanceExecutions &Instance : Observed.m_Instances) {
     if (Instance.m_Instance != Window.m_Instance)
       continue;
     for (const Execution &Order : Instance.m_Orders)
       if (Order.m_End && !Order.m_Completed && Inside(*Order.m_End))
-        Found.push_back({ViolationKind::Cut, describe({&Order, &Instance})});
+        Violations.push_back(
+            {ViolationKind::Cut, describe({&Order, &Instance})});
   }
 }
 
@@ -232,13 +235,13 @@
 }
 
 std::vector<Violation> findViolations(const Observations &Observed) {
-  std::vector<Violation> Found;
-  checkRequests(Observed, groupById(Observed), Found);
-  checkOwners(Observed, Found);
-  checkNoNewWork(Observed, Found);
+  std::vector<Violation> Violations;
+  checkRequests(Observed, groupById(Observed), Violations);
+  checkOwners(Observed, Violations);
+  checkNoStartWindows(Observed, Violations);
   for (const ShutdownWindow &Window : Observed.m_Shutdowns)
-    checkShutdown(Window, Observed, Found);
-  return Found;
+    checkShutdown(Window, Observed, Violations);
+  return Violations;
 }
 
 } // namespace balsamwheel::bench
--- a/bench/core/oracle.h
+++ b/bench/core/oracle.h
@@ -48,7 +48,7 @@
 };
 
 /// A time in which an instance must not begin orders, or must cut none.
-struct QuietWindow {
+struct NoStartWindow {
   std::string m_Instance;
   TimePoint m_From;
   TimePoint m_To;
@@ -68,7 +68,7 @@
   std::vector<LoadStream> m_Streams;
   std::vector<RequestRecord> m_Requests;
   std::vector<InstanceExecutions> m_Instances;
-  std::vector<QuietWindow> m_NoNewWork;
+  std::vector<NoStartWindow> m_NoStartWindows;
   std::vector<ShutdownWindow> m_Shutdowns;
 };
 
--- a/bench/core/payload.cpp
+++ b/bench/core/payload.cpp
@@ -28,7 +28,7 @@
   return headerOf(RequestId, Filler) + Filler;
 }
 
-bool isWholePayload(std::string_view Body, std::string_view RequestId) {
+bool isIntactPayload(std::string_view Body, std::string_view RequestId) {
   const std::size_t End = Body.find('\n');
   if (End == std::string_view::npos)
     return false;
--- a/bench/core/payload.h
+++ b/bench/core/payload.h
@@ -12,6 +12,6 @@
 std::string makePayload(std::string_view RequestId, std::size_t Size);
 
 /// Returns whether a body is the whole answer to a request.
-bool isWholePayload(std::string_view Body, std::string_view RequestId);
+bool isIntactPayload(std::string_view Body, std::string_view RequestId);
 
 } // namespace balsamwheel::bench
--- a/bench/core/platform_stand_in.cpp
+++ b/bench/core/platform_stand_in.cpp
@@ -89,15 +89,16 @@
     Answer->answer(errorAnswer(503, "unavailable"));
     return;
   case PlatformMode::Ambiguous: {
-    ServerAnswer Lost = apply(Request);
-    Lost.m_Drop = true;
-    Answer->answer(std::move(Lost));
+    ServerAnswer Applied = apply(Request);
+    Applied.m_Drop = true;
+    Answer->answer(std::move(Applied));
     return;
   }
   case PlatformMode::Slow:
-    m_Delays.at(now() + Fault.m_Delay / 2, [this, Request, Answer, Fault] {
-      m_Delays.at(now() + Fault.m_Delay / 2,
-                  [Answer, Late = apply(Request)] { Answer->answer(Late); });
+    m_Delays.runAt(now() + Fault.m_Delay / 2, [this, Request, Answer, Fault] {
+      m_Delays.runAt(
+          now() + Fault.m_Delay / 2,
+          [Answer, Delayed = apply(Request)] { Answer->answer(Delayed); });
     });
     return;
   }
@@ -105,7 +106,7 @@
 
 PlatformFault PlatformStandIn::faultFor(const std::string &Instance) {
   const std::lock_guard Lock(m_Mutex);
-  if (m_Fault.m_Peers.empty() || m_Fault.m_Peers.contains(Instance))
+  if (m_Fault.m_Instances.empty() || m_Fault.m_Instances.contains(Instance))
     return m_Fault;
   return {};
 }
@@ -169,8 +170,8 @@
     PlatformFault Fault;
     Fault.m_Mode = modeFromName(Value.at("mode").get<std::string>());
     Fault.m_Delay = std::chrono::milliseconds(Value.value("delay_ms", 0));
-    for (const Json &Peer : Value.value("peers", Json::array()))
-      Fault.m_Peers.insert(Peer.get<std::string>());
+    for (const Json &Instance : Value.value("peers", Json::array()))
+      Fault.m_Instances.insert(Instance.get<std::string>());
     const std::lock_guard Lock(m_Mutex);
     m_Fault = std::move(Fault);
   } catch (const std::exception &Error) {
--- a/bench/core/platform_stand_in.h
+++ b/bench/core/platform_stand_in.h
@@ -25,7 +25,7 @@
   PlatformMode m_Mode = PlatformMode::Ok;
   Duration m_Delay{0};
   /// Names of the instances it holds for; empty means all clients.
-  std::set<std::string> m_Peers;
+  std::set<std::string> m_Instances;
 };
 
 class PlatformStandIn {
--- a/bench/core/process.cpp
+++ b/bench/core/process.cpp
@@ -24,7 +24,7 @@
 
 constexpr std::uint16_t FirstPort = 20'000;
 constexpr std::uint16_t LastPort = 32'000;
-constexpr int FailedExec = 127;
+constexpr int ExecFailedExitCode = 127;
 
 [[noreturn]] void execChild(const ProcessOptions &Options,
                             std::vector<char *> Arguments) {
@@ -37,7 +37,7 @@
   dup2(Log, STDOUT_FILENO);
   dup2(Log, STDERR_FILENO);
   execv(Arguments.front(), Arguments.data());
-  _exit(FailedExec);
+  _exit(ExecFailedExitCode);
 }
 
 bool canBind(std::uint16_t Port) {
@@ -87,9 +87,9 @@
 
 bool ChildProcess::running() { return m_Pid != 0 && !wait(Duration::zero()); }
 
-void ChildProcess::signal(int Number) const {
+void ChildProcess::signal(int Signal) const {
   if (m_Pid != 0)
-    ::kill(m_Pid, Number);
+    ::kill(m_Pid, Signal);
 }
 
 std::optional<int> ChildProcess::wait(Duration Timeout) {
@@ -147,27 +147,27 @@
 
 ProgramResult runProgram(const ProcessOptions &Options, Duration Timeout) {
   std::error_code Ignored;
-  const auto Existing = std::filesystem::file_size(Options.m_Log, Ignored);
-  const std::streamoff Before =
-      Ignored ? 0 : static_cast<std::streamoff>(Existing);
+  const auto SizeBefore = std::filesystem::file_size(Options.m_Log, Ignored);
+  const std::streamoff OutputStart =
+      Ignored ? 0 : static_cast<std::streamoff>(SizeBefore);
   ChildProcess Child(Options);
   ProgramResult Result;
   const std::optional<int> Status = Child.wait(Timeout);
   if (Status && WIFEXITED(*Status))
     Result.m_ExitCode = WEXITSTATUS(*Status);
   std::ifstream Log(Options.m_Log);
-  Log.seekg(Before);
+  Log.seekg(OutputStart);
   Result.m_Output.assign(std::istreambuf_iterator<char>(Log), {});
   return Result;
 }
 
 std::uint16_t pickFreePort() {
-  static std::set<std::uint16_t> Taken;
+  static std::set<std::uint16_t> Returned;
   static std::uint32_t Next = static_cast<std::uint32_t>(getpid()) * 37U;
   while (true) {
     const auto Port =
         static_cast<std::uint16_t>(FirstPort + Next++ % (LastPort - FirstPort));
-    if (canBind(Port) && Taken.insert(Port).second)
+    if (canBind(Port) && Returned.insert(Port).second)
       return Port;
   }
 }
--- a/bench/core/process.h
+++ b/bench/core/process.h
@@ -31,7 +31,7 @@
 
   bool running();
   pid_t pid() const { return m_Pid; }
-  void signal(int Number) const;
+  void signal(int Signal) const;
   /// Waits for the end. \returns the wait status, none after the timeout.
   std::optional<int> wait(Duration Timeout);
   /// Ends it with SIGKILL and reaps it.
--- a/bench/core/relay.cpp
+++ b/bench/core/relay.cpp
@@ -35,7 +35,7 @@
 
 int openSocket() { return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0); }
 
-void prepare(int Socket) {
+void setNonBlocking(int Socket) {
   const int On = 1;
   setsockopt(Socket, IPPROTO_TCP, TCP_NODELAY, &On, sizeof(On));
   fcntl(Socket, F_SETFL, fcntl(Socket, F_GETFL) | O_NONBLOCK);
@@ -50,23 +50,23 @@
 /// One direction of a connection. Invariant: m_Pending is sent before more is
 /// read.
 struct Direction {
-  int m_From = -1;
-  int m_To = -1;
+  int m_Source = -1;
+  int m_Destination = -1;
   std::string m_Pending;
 };
 
 struct Connection {
-  Direction m_Forth;
-  Direction m_Back;
-  std::uint16_t m_To = 0;
+  Direction m_ToServer;
+  Direction m_ToClient;
+  std::uint16_t m_ServerListenPort = 0;
   /// Port that the opener says it listens on; 0 until its greeting.
-  std::uint16_t m_From = 0;
+  std::uint16_t m_ClientListenPort = 0;
   bool m_Silent = false;
   bool m_Closed = false;
 };
 
 /// Finds "127.0.0.1:PORT" in a greeting.
-std::uint16_t portInGreeting(const std::string &Bytes) {
+std::uint16_t portInHello(const std::string &Bytes) {
   const std::string Host = "127.0.0.1:";
   const std::size_t Found = Bytes.find(Host);
   if (Found == std::string::npos)
@@ -98,14 +98,14 @@
              sizeof(Address)) != 0 ||
         listen(Socket, ListenBacklog) != 0)
       throw std::runtime_error("a relay cannot listen");
-    prepare(Socket);
+    setNonBlocking(Socket);
     m_Listeners.push_back({Socket, ListenPort, ServerPort});
   }
 
   void start() {
     m_Thread = std::thread([this] {
       while (!m_Stopping)
-        step();
+        pollOnce();
     });
   }
 
@@ -117,7 +117,7 @@
 
   void isolate(std::set<std::uint16_t> Ports) {
     const std::lock_guard Lock(m_Mutex);
-    m_Isolated = std::move(Ports);
+    m_IsolatedPorts = std::move(Ports);
   }
 
   std::size_t openConnections() const {
@@ -127,26 +127,27 @@
 
 private:
   static void closeBoth(const Connection &Each) {
-    close(Each.m_Forth.m_From);
-    close(Each.m_Forth.m_To);
+    close(Each.m_ToServer.m_Source);
+    close(Each.m_ToServer.m_Destination);
   }
 
-  bool isHeld(const Connection &Each) const {
+  bool isBlocked(const Connection &Each) const {
     if (Each.m_Silent)
       return true;
-    return Each.m_From != 0 &&
-           m_Isolated.contains(Each.m_From) != m_Isolated.contains(Each.m_To);
+    return Each.m_ClientListenPort != 0 &&
+           m_IsolatedPorts.contains(Each.m_ClientListenPort) !=
+               m_IsolatedPorts.contains(Each.m_ServerListenPort);
   }
 
-  void step() {
-    std::vector<pollfd> Polled = collect();
+  void pollOnce() {
+    std::vector<pollfd> Polled = makePollSet();
     poll(Polled.data(), Polled.size(), PollMillis);
     const std::lock_guard Lock(m_Mutex);
     for (const Listener &Each : m_Listeners)
       acceptAll(Each);
     for (Connection &Each : m_Connections)
-      if (!isHeld(Each))
-        pump(Each);
+      if (!isBlocked(Each))
+        relayBoth(Each);
     m_Connections.remove_if([](const Connection &Each) {
       if (Each.m_Closed)
         closeBoth(Each);
@@ -154,73 +155,74 @@
     });
   }
 
-  std::vector<pollfd> collect() {
+  std::vector<pollfd> makePollSet() {
     const std::lock_guard Lock(m_Mutex);
     std::vector<pollfd> Result;
     Result.reserve(m_Listeners.size() + 2 * m_Connections.size());
     for (const Listener &Each : m_Listeners)
       Result.push_back({Each.m_Socket, POLLIN, 0});
     for (const Connection &Each : m_Connections) {
-      if (isHeld(Each))
+      if (isBlocked(Each))
         continue;
-      for (const Direction *Way : {&Each.m_Forth, &Each.m_Back})
-        if (Way->m_Pending.empty())
-          Result.push_back({Way->m_From, POLLIN, 0});
+      for (const Direction *Flow : {&Each.m_ToServer, &Each.m_ToClient})
+        if (Flow->m_Pending.empty())
+          Result.push_back({Flow->m_Source, POLLIN, 0});
         else
-          Result.push_back({Way->m_To, POLLOUT, 0});
+          Result.push_back({Flow->m_Destination, POLLOUT, 0});
     }
     return Result;
   }
 
   void acceptAll(const Listener &From) {
     while (true) {
-      const int Opener = accept4(From.m_Socket, nullptr, nullptr, SOCK_CLOEXEC);
-      if (Opener < 0)
+      const int Client = accept4(From.m_Socket, nullptr, nullptr, SOCK_CLOEXEC);
+      if (Client < 0)
         return;
       const int Server = openSocket();
       const sockaddr_in Address = loopback(From.m_ServerPort);
       if (connect(Server, reinterpret_cast<const sockaddr *>(&Address),
                   sizeof(Address)) != 0) {
-        close(Opener);
+        close(Client);
         close(Server);
         continue;
       }
-      prepare(Opener);
-      prepare(Server);
+      setNonBlocking(Client);
+      setNonBlocking(Server);
       Connection Opened;
-      Opened.m_Forth = {Opener, Server, {}};
-      Opened.m_Back = {Server, Opener, {}};
-      Opened.m_To = From.m_ListenPort;
+      Opened.m_ToServer = {Client, Server, {}};
+      Opened.m_ToClient = {Server, Client, {}};
+      Opened.m_ServerListenPort = From.m_ListenPort;
       m_Connections.push_back(std::move(Opened));
     }
   }
 
-  void pump(Connection &Each) {
-    if (!forward(Each, Each.m_Forth) || !forward(Each, Each.m_Back))
+  void relayBoth(Connection &Each) {
+    if (!relayOneWay(Each, Each.m_ToServer) ||
+        !relayOneWay(Each, Each.m_ToClient))
       Each.m_Closed = true;
   }
 
   /// Returns false when the connection has ended.
-  bool forward(Connection &Each, Direction &Way) {
-    if (Way.m_Pending.empty()) {
+  bool relayOneWay(Connection &Each, Direction &Flow) {
+    if (Flow.m_Pending.empty()) {
       std::array<char, ChunkSize> Chunk{};
-      const ssize_t Count = read(Way.m_From, Chunk.data(), Chunk.size());
+      const ssize_t Count = read(Flow.m_Source, Chunk.data(), Chunk.size());
       if (Count == 0)
         return false;
       if (Count < 0)
         return errno == EAGAIN || errno == EINTR;
-      Way.m_Pending.assign(Chunk.data(), static_cast<std::size_t>(Count));
-      if (Each.m_From == 0 && &Way == &Each.m_Forth) {
-        Each.m_From = portInGreeting(Way.m_Pending);
-        if (isHeld(Each))
+      Flow.m_Pending.assign(Chunk.data(), static_cast<std::size_t>(Count));
+      if (Each.m_ClientListenPort == 0 && &Flow == &Each.m_ToServer) {
+        Each.m_ClientListenPort = portInHello(Flow.m_Pending);
+        if (isBlocked(Each))
           return true;
       }
     }
-    const ssize_t Sent = send(Way.m_To, Way.m_Pending.data(),
-                              Way.m_Pending.size(), MSG_NOSIGNAL);
+    const ssize_t Sent = send(Flow.m_Destination, Flow.m_Pending.data(),
+                              Flow.m_Pending.size(), MSG_NOSIGNAL);
     if (Sent < 0)
       return errno == EAGAIN || errno == EINTR;
-    Way.m_Pending.erase(0, static_cast<std::size_t>(Sent));
+    Flow.m_Pending.erase(0, static_cast<std::size_t>(Sent));
     return true;
   }
 
@@ -228,7 +230,7 @@
   mutable std::mutex m_Mutex;
   std::vector<Listener> m_Listeners;
   std::list<Connection> m_Connections;
-  std::set<std::uint16_t> m_Isolated;
+  std::set<std::uint16_t> m_IsolatedPorts;
   std::atomic<bool> m_Stopping = false;
   std::thread m_Thread;
 };
--- a/bench/core/rig.h
+++ b/bench/core/rig.h
@@ -34,14 +34,14 @@
   /// violations.
   void shutDownDaemon(std::size_t Index);
   /// Remarks for the report, e.g. an operator's exit code.
-  void note(std::string Text) { m_Notes.push_back(std::move(Text)); }
+  void addNote(std::string Text) { m_Notes.push_back(std::move(Text)); }
   const std::vector<std::string> &notes() const { return m_Notes; }
 
 private:
   Cluster m_Cluster;
   LoadPlan m_Plan;
   std::unique_ptr<LoadGenerator> m_Load;
-  std::vector<QuietWindow> m_NoNewWork;
+  std::vector<NoStartWindow> m_NoStartWindows;
   std::vector<ShutdownWindow> m_Shutdowns;
   std::vector<std::string> m_Notes;
 };
--- a/bench/core/signals.cpp
+++ b/bench/core/signals.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-sigset_t endSignals() {
+sigset_t terminationSignals() {
   sigset_t Set;
   sigemptyset(&Set);
   sigaddset(&Set, SIGTERM);
@@ -18,12 +18,12 @@
 } // namespace
 
 SignalWaiter::SignalWaiter() {
-  const sigset_t Set = endSignals();
+  const sigset_t Set = terminationSignals();
   pthread_sigmask(SIG_BLOCK, &Set, nullptr);
 }
 
 void SignalWaiter::waitForEnd() const {
-  const sigset_t Set = endSignals();
+  const sigset_t Set = terminationSignals();
   int Signal = 0;
   sigwait(&Set, &Signal);
 }
--- a/bench/core/table_store.cpp
+++ b/bench/core/table_store.cpp
@@ -3,7 +3,7 @@
 
 namespace balsamwheel::bench {
 
-Row TableStore::rowOf(const std::string &Key) const {
+Row TableStore::currentRow(const std::string &Key) const {
   const auto Found = m_Cells.find(Key);
   if (Found == m_Cells.end() || !Found->second.m_Present)
     return {.m_Key = RowKey(Key), .m_Version = RowVersion(0), .m_Value = ""};
@@ -16,19 +16,19 @@
   std::vector<Row> Rows;
   Rows.reserve(Read.m_Keys.size());
   for (const RowKey &Key : Read.m_Keys)
-    Rows.push_back(rowOf(Key.value()));
+    Rows.push_back(currentRow(Key.value()));
   for (const std::string &Prefix : Read.m_Prefixes)
     for (auto Cell = m_Cells.lower_bound(Prefix);
          Cell != m_Cells.end() && Cell->first.starts_with(Prefix); ++Cell)
       if (Cell->second.m_Present)
-        Rows.push_back(rowOf(Cell->first));
+        Rows.push_back(currentRow(Cell->first));
   return Rows;
 }
 
 TableReply TableStore::commit(const Transaction &Transaction) {
   TableReply Reply;
   for (const RowCondition &Condition : Transaction.m_Conditions) {
-    Row Current = rowOf(Condition.m_Key.value());
+    Row Current = currentRow(Condition.m_Key.value());
     if (Current.m_Version != Condition.m_Version)
       Reply.m_Rows.push_back(std::move(Current));
   }
@@ -37,12 +37,12 @@
     return Reply;
   }
   for (const RowWrite &Write : Transaction.m_Writes) {
-    Cell &Target = m_Cells[Write.m_Key.value()];
-    ++Target.m_Version;
-    Target.m_Present = Write.m_Value.has_value();
-    Target.m_Value = Write.m_Value.value_or("");
+    Cell &Updated = m_Cells[Write.m_Key.value()];
+    ++Updated.m_Version;
+    Updated.m_Present = Write.m_Value.has_value();
+    Updated.m_Value = Write.m_Value.value_or("");
     Reply.m_Rows.push_back({.m_Key = Write.m_Key,
-                            .m_Version = RowVersion(Target.m_Version),
+                            .m_Version = RowVersion(Updated.m_Version),
                             .m_Value = ""});
   }
   Reply.m_Status = TableStatus::Ok;
--- a/bench/core/table_store.h
+++ b/bench/core/table_store.h
@@ -26,7 +26,7 @@
     bool m_Present = false;
   };
 
-  Row rowOf(const std::string &Key) const;
+  Row currentRow(const std::string &Key) const;
 
   std::map<std::string, Cell> m_Cells;
 };
--- a/bench/core/target_model.cpp
+++ b/bench/core/target_model.cpp
@@ -21,9 +21,9 @@
   const double Age = std::chrono::duration<double>(Now - m_ColdSince).count();
   const double WarmUp =
       std::chrono::duration<double>(m_Options.m_WarmUp).count();
-  const double Warmth = std::clamp(Age / WarmUp, 0.0, 1.0);
+  const double WarmFraction = std::clamp(Age / WarmUp, 0.0, 1.0);
   const double Share =
-      m_Options.m_ColdShare + (1 - m_Options.m_ColdShare) * Warmth;
+      m_Options.m_ColdShare + (1 - m_Options.m_ColdShare) * WarmFraction;
   return std::max(1U, static_cast<std::uint32_t>(
                           std::floor(m_Options.m_Slots * Share + 1e-9)));
 }
@@ -64,29 +64,29 @@
 void TargetModel::arrive(std::uint64_t Ticket, TargetOrder Order,
                          TimePoint Now) {
   if (restarting(Now))
-    return end(Ticket, TargetEnd::Lost);
+    return reportEnd(Ticket, TargetEnd::Lost);
   if (isFenced(Order))
-    return end(Ticket, TargetEnd::Fenced);
-  if (m_Running.size() + m_Waiting.size() >= m_Options.m_MaxInside)
-    return end(Ticket, TargetEnd::Shed);
+    return reportEnd(Ticket, TargetEnd::Fenced);
+  if (m_Running.size() + m_Waiting.size() >= m_Options.m_MaxOrders)
+    return reportEnd(Ticket, TargetEnd::Shed);
   const TimePoint Deadline = Order.m_TimeLeft > Duration::zero()
                                  ? Now + Order.m_TimeLeft
                                  : TimePoint::max();
   m_Waiting.push_back({Ticket, std::move(Order), Deadline});
-  m_MostInside =
-      std::max(m_MostInside,
+  m_PeakOrders =
+      std::max(m_PeakOrders,
                static_cast<std::uint32_t>(m_Running.size() + m_Waiting.size()));
   startWaiting(Now);
 }
 
 bool TargetModel::cancel(const std::string &RequestId, TimePoint Now) {
-  const auto Queued =
+  const auto WaitingOrder =
       std::ranges::find_if(m_Waiting, [&RequestId](const Waiting &Each) {
         return Each.m_Order.m_RequestId == RequestId;
       });
-  if (Queued != m_Waiting.end()) {
-    end(Queued->m_Ticket, TargetEnd::Withdrawn);
-    m_Waiting.erase(Queued);
+  if (WaitingOrder != m_Waiting.end()) {
+    reportEnd(WaitingOrder->m_Ticket, TargetEnd::Withdrawn);
+    m_Waiting.erase(WaitingOrder);
     return true;
   }
   const auto Found =
@@ -107,32 +107,32 @@
     TargetOrder &Order = Next.m_Order;
     const Duration Time = std::chrono::duration_cast<Duration>(
         Order.m_ServiceTime * m_SlowFactor);
-    Execution Begun{.m_RequestId = std::move(Order.m_RequestId),
-                    .m_Service = std::move(Order.m_Service),
-                    .m_Key = std::move(Order.m_Key),
-                    .m_Shard = std::move(Order.m_Shard),
-                    .m_Epoch = Order.m_Epoch,
-                    .m_Start = Now,
-                    .m_End = std::nullopt,
-                    .m_Completed = false};
-    m_Started.emplace_back(Next.m_Ticket, Begun);
+    Execution Started{.m_RequestId = std::move(Order.m_RequestId),
+                      .m_Service = std::move(Order.m_Service),
+                      .m_Key = std::move(Order.m_Key),
+                      .m_Shard = std::move(Order.m_Shard),
+                      .m_Epoch = Order.m_Epoch,
+                      .m_Start = Now,
+                      .m_End = std::nullopt,
+                      .m_Completed = false};
+    m_Started.emplace_back(Next.m_Ticket, Started);
     m_Running.emplace(Next.m_Ticket,
-                      Running{std::move(Begun), Now + Time, Next.m_Deadline});
+                      Running{std::move(Started), Now + Time, Next.m_Deadline});
   }
 }
 
-void TargetModel::end(std::uint64_t Ticket, TargetEnd How) {
+void TargetModel::reportEnd(std::uint64_t Ticket, TargetEnd EndKind) {
   m_Events.push_back(
-      {.m_Ticket = Ticket, .m_End = How, .m_Execution = std::nullopt});
+      {.m_Ticket = Ticket, .m_End = EndKind, .m_Execution = std::nullopt});
 }
 
 void TargetModel::endRunning(std::map<std::uint64_t, Running>::iterator Order,
-                             TargetEnd How, TimePoint Now) {
+                             TargetEnd EndKind, TimePoint Now) {
   Execution &Ended = Order->second.m_Execution;
   Ended.m_End = Now;
-  Ended.m_Completed = How == TargetEnd::Done;
+  Ended.m_Completed = EndKind == TargetEnd::Done;
   m_Events.push_back({.m_Ticket = Order->first,
-                      .m_End = How,
+                      .m_End = EndKind,
                       .m_Execution = std::move(Ended)});
   m_Running.erase(Order);
 }
@@ -152,16 +152,16 @@
   std::erase_if(m_Waiting, [this, Now](const Waiting &Each) {
     if (Each.m_Deadline > Now)
       return false;
-    end(Each.m_Ticket, TargetEnd::Withdrawn);
+    reportEnd(Each.m_Ticket, TargetEnd::Withdrawn);
     return true;
   });
 }
 
 void TargetModel::checkCollapse(TimePoint Now) {
   const std::uint32_t Working = workingSlots(Now);
-  const auto Inside = static_cast<double>(m_Running.size() + m_Waiting.size());
+  const auto Orders = static_cast<double>(m_Running.size() + m_Waiting.size());
   const bool Warm = Working >= m_Options.m_Slots;
-  if (Warm || Inside <= m_Options.m_CollapseFactor * Working) {
+  if (Warm || Orders <= m_Options.m_CollapseFactor * Working) {
     m_OverloadedSince.reset();
     return;
   }
@@ -171,15 +171,15 @@
     return;
   ++m_Collapses;
   restart(Now + m_Options.m_RestartTime);
-  dropEverything(Now);
+  dropAllOrders(Now);
   m_DownUntil = Now + m_Options.m_RestartTime;
 }
 
-void TargetModel::dropEverything(TimePoint Now) {
+void TargetModel::dropAllOrders(TimePoint Now) {
   while (!m_Running.empty())
     endRunning(m_Running.begin(), TargetEnd::Aborted, Now);
   for (const Waiting &Each : m_Waiting)
-    end(Each.m_Ticket, TargetEnd::Lost);
+    reportEnd(Each.m_Ticket, TargetEnd::Lost);
   m_Waiting.clear();
   m_OverloadedSince.reset();
 }
@@ -187,7 +187,7 @@
 void TargetModel::becomeCold(TimePoint Now) { m_ColdSince = Now; }
 
 void TargetModel::restart(TimePoint Now) {
-  dropEverything(Now);
+  dropAllOrders(Now);
   becomeCold(Now);
   m_Epochs.clear();
 }
--- a/bench/core/target_model.h
+++ b/bench/core/target_model.h
@@ -28,7 +28,7 @@
   /// Time without any answer after a collapse.
   Duration m_RestartTime = std::chrono::seconds(2);
   /// Orders inside at which further ones are shed.
-  std::uint32_t m_MaxInside = 130;
+  std::uint32_t m_MaxOrders = 130;
   bool m_ChecksFences = false;
   bool m_StartsCold = false;
 };
@@ -100,7 +100,7 @@
   void becomeCold(TimePoint Now);
   void restart(TimePoint Now);
   /// Service times are multiplied by this from now on.
-  void slowDown(double Factor) { m_SlowFactor = Factor; }
+  void setSlowFactor(double Factor) { m_SlowFactor = Factor; }
 
   /// When advance() has something to do; the far future when nothing runs.
   TimePoint nextWake(TimePoint Now) const;
@@ -109,7 +109,7 @@
   std::uint32_t workingSlots(TimePoint Now) const;
   bool restarting(TimePoint Now) const { return Now < m_DownUntil; }
   std::uint64_t collapses() const { return m_Collapses; }
-  std::uint32_t mostInside() const { return m_MostInside; }
+  std::uint32_t peakOrders() const { return m_PeakOrders; }
 
 private:
   struct Waiting {
@@ -128,10 +128,10 @@
   void finishDue(TimePoint Now);
   void expireWaiting(TimePoint Now);
   void checkCollapse(TimePoint Now);
-  void dropEverything(TimePoint Now);
-  void end(std::uint64_t Ticket, TargetEnd How);
+  void dropAllOrders(TimePoint Now);
+  void reportEnd(std::uint64_t Ticket, TargetEnd EndKind);
   void endRunning(std::map<std::uint64_t, Running>::iterator Order,
-                  TargetEnd How, TimePoint Now);
+                  TargetEnd EndKind, TimePoint Now);
 
   TargetModelOptions m_Options;
   std::map<std::uint64_t, Running> m_Running;
@@ -145,7 +145,7 @@
   std::optional<TimePoint> m_OverloadedSince;
   double m_SlowFactor = 1;
   std::uint64_t m_Collapses = 0;
-  std::uint32_t m_MostInside = 0;
+  std::uint32_t m_PeakOrders = 0;
 };
 
 } // namespace balsamwheel::bench
--- a/bench/core/target_stand_in.cpp
+++ b/bench/core/target_stand_in.cpp
@@ -20,9 +20,9 @@
 
 /// Service time and answer size of the paths that contain a part.
 struct PathProfile {
-  std::string_view m_Part;
-  Duration m_Least;
-  Duration m_Most;
+  std::string_view m_PathPart;
+  Duration m_MinServiceTime;
+  Duration m_MaxServiceTime;
   std::size_t m_BodySize;
 };
 
@@ -37,7 +37,7 @@
 
 const PathProfile &profileOf(const std::string &Path) {
   for (const PathProfile &Profile : Profiles)
-    if (Path.find(Profile.m_Part) != std::string::npos)
+    if (Path.find(Profile.m_PathPart) != std::string::npos)
       return Profile;
   return Profiles.back();
 }
@@ -49,8 +49,8 @@
           .m_Drop = false};
 }
 
-ServerAnswer notRunAnswer(std::uint16_t Status, const char *Why) {
-  ServerAnswer Answer = jsonAnswer(Status, {{"error", Why}});
+ServerAnswer notRunAnswer(std::uint16_t Status, const char *Reason) {
+  ServerAnswer Answer = jsonAnswer(Status, {{"error", Reason}});
   Answer.m_Headers.emplace_back("Balsamwheel-Not-Run", "true");
   return Answer;
 }
@@ -79,7 +79,7 @@
 TargetStandIn::TargetStandIn(TargetStandInOptions Options)
     : m_Options(std::move(Options)), m_Model(m_Options.m_Model, now()),
       m_Random(m_Options.m_Seed), m_Journal(m_Options.m_Journal) {
-  m_Options.m_Http.m_MaxConnections = m_Options.m_Model.m_MaxInside;
+  m_Options.m_Http.m_MaxConnections = m_Options.m_Model.m_MaxOrders;
   m_Server = std::make_unique<HttpServer>(
       m_Options.m_Http,
       [this](const ServerRequest &Request, const Reply &Answer) {
@@ -140,8 +140,8 @@
 
 Duration TargetStandIn::drawServiceTime(const ServerRequest &Request) {
   const PathProfile &Profile = profileOf(Request.m_Path);
-  std::uniform_int_distribution<Duration::rep> Between(Profile.m_Least.count(),
-                                                       Profile.m_Most.count());
+  std::uniform_int_distribution<Duration::rep> Between(
+      Profile.m_MinServiceTime.count(), Profile.m_MaxServiceTime.count());
   return std::chrono::duration_cast<Duration>(Duration(Between(m_Random)) *
                                               m_Options.m_TimeScale);
 }
@@ -153,19 +153,20 @@
                     .m_Service = m_Options.m_Service,
                     .m_Key = Request.header("balsamwheel-key"),
                     .m_Shard = Request.header("balsamwheel-shard"),
-                    .m_Epoch = Epoch(Request.number("balsamwheel-epoch")),
+                    .m_Epoch =
+                        Epoch(Request.numericHeader("balsamwheel-epoch")),
                     .m_ServiceTime = drawServiceTime(Request),
                     .m_TimeLeft = std::chrono::milliseconds(
-                        Request.number("balsamwheel-deadline-ms"))};
+                        Request.numericHeader("balsamwheel-deadline-ms"))};
   const std::uint64_t Ticket = m_NextTicket++;
-  m_Open[Ticket] = {.m_Answer = Answer,
-                    .m_RequestId = Order.m_RequestId,
-                    .m_BodySize = profileOf(Request.m_Path).m_BodySize};
+  m_OpenOrders[Ticket] = {.m_Answer = Answer,
+                          .m_RequestId = Order.m_RequestId,
+                          .m_BodySize = profileOf(Request.m_Path).m_BodySize};
   const TimePoint Now = now();
   m_Model.arrive(Ticket, std::move(Order), Now);
   if (m_Frozen)
     return;
-  settle(Now);
+  advanceModel(Now);
   if (m_Model.nextWake(Now) < m_WakeAt)
     m_Changed.notify_all();
 }
@@ -174,7 +175,7 @@
   const std::lock_guard Lock(m_Mutex);
   const TimePoint Now = now();
   const bool Found = m_Model.cancel(RequestId, Now);
-  settle(Now);
+  advanceModel(Now);
   return jsonAnswer(Found ? 200 : 404, Json::object());
 }
 
@@ -200,23 +201,23 @@
   const std::lock_guard Lock(m_Mutex);
   const TimePoint Now = now();
   if (Value.contains("slow_factor"))
-    m_Model.slowDown(Value["slow_factor"].get<double>());
+    m_Model.setSlowFactor(Value["slow_factor"].get<double>());
   if (Value.contains("frozen"))
     m_Frozen = Value["frozen"].get<bool>();
   if (Value.value("cold", false))
     m_Model.becomeCold(Now);
   if (Value.value("restart", false))
     m_Model.restart(Now);
-  settle(Now);
+  advanceModel(Now);
   return jsonAnswer(200, Json::object());
 }
 
 ServerAnswer TargetStandIn::loadReport() {
   const std::lock_guard Lock(m_Mutex);
-  const TimePoint Reported = now() - m_Options.m_LoadLag;
+  const TimePoint ReportTime = now() - m_Options.m_LoadReportDelay;
   double Load = 0;
   for (const auto &[Time, Value] : m_LoadHistory)
-    if (Time <= Reported)
+    if (Time <= ReportTime)
       Load = Value;
   return jsonAnswer(200, {{"load", Load}, {"healthy", true}});
 }
@@ -228,30 +229,30 @@
     List.push_back(toJson(Order));
   return jsonAnswer(200, {{"service", m_Options.m_Service},
                           {"collapses", m_Model.collapses()},
-                          {"most_inside", m_Model.mostInside()},
+                          {"most_inside", m_Model.peakOrders()},
                           {"executions", std::move(List)}});
 }
 
-void TargetStandIn::settle(TimePoint Now) {
+void TargetStandIn::advanceModel(TimePoint Now) {
   const std::vector<TargetEvent> Events = m_Model.advance(Now);
   for (auto &[Ticket, Order] : m_Model.takeStarted()) {
-    m_Journal.began(Ticket, Order);
+    m_Journal.recordStart(Ticket, Order);
     m_Executions[Ticket] = std::move(Order);
   }
   for (const TargetEvent &Event : Events)
-    finish(Event);
+    finishOrder(Event);
 }
 
-void TargetStandIn::finish(const TargetEvent &Event) {
+void TargetStandIn::finishOrder(const TargetEvent &Event) {
   if (Event.m_Execution) {
-    m_Journal.ended(Event.m_Ticket, *Event.m_Execution);
+    m_Journal.recordEnd(Event.m_Ticket, *Event.m_Execution);
     m_Executions[Event.m_Ticket] = *Event.m_Execution;
   }
-  const auto Found = m_Open.find(Event.m_Ticket);
-  if (Found == m_Open.end())
+  const auto Found = m_OpenOrders.find(Event.m_Ticket);
+  if (Found == m_OpenOrders.end())
     return;
-  const Open Order = std::move(Found->second);
-  m_Open.erase(Found);
+  const OpenOrder Order = std::move(Found->second);
+  m_OpenOrders.erase(Found);
   switch (Event.m_End) {
   case TargetEnd::Done:
     Order.m_Answer->answer(
@@ -279,10 +280,10 @@
   while (!m_Stopped) {
     const TimePoint Now = now();
     if (!m_Frozen)
-      settle(Now);
+      advanceModel(Now);
     if (m_LoadHistory.empty() || Now - m_LoadHistory.back().first > LoadPeriod)
       m_LoadHistory.emplace_back(Now, m_Model.load());
-    while (Now - m_LoadHistory.front().first > 2 * m_Options.m_LoadLag)
+    while (Now - m_LoadHistory.front().first > 2 * m_Options.m_LoadReportDelay)
       m_LoadHistory.pop_front();
     m_WakeAt = Now + IdlePeriod;
     if (!m_Frozen)
@@ -296,7 +297,7 @@
       {"service", m_Options.m_Service},
       {"address", m_Options.m_Http.m_Host + ":" + std::to_string(port())},
       {"slots", m_Options.m_Model.m_Slots},
-      {"connections", m_Options.m_Model.m_MaxInside},
+      {"connections", m_Options.m_Model.m_MaxOrders},
       {"cold", m_Options.m_Model.m_StartsCold},
       {"checks_fences", m_Options.m_Model.m_ChecksFences}};
   if (Leaving)
--- a/bench/core/target_stand_in.h
+++ b/bench/core/target_stand_in.h
@@ -27,7 +27,7 @@
   /// File that records what ran; empty for none.
   std::string m_Journal;
   /// How late the load endpoint is.
-  Duration m_LoadLag = std::chrono::seconds(3);
+  Duration m_LoadReportDelay = std::chrono::seconds(3);
 };
 
 class TargetStandIn {
@@ -42,7 +42,7 @@
 private:
   using Reply = std::shared_ptr<Responder>;
 
-  struct Open {
+  struct OpenOrder {
     Reply m_Answer;
     std::string m_RequestId;
     std::size_t m_BodySize = 0;
@@ -57,8 +57,8 @@
   ServerAnswer loadReport();
   ServerAnswer executions();
   Duration drawServiceTime(const ServerRequest &Request);
-  void settle(TimePoint Now);
-  void finish(const TargetEvent &Event);
+  void advanceModel(TimePoint Now);
+  void finishOrder(const TargetEvent &Event);
   void runModel();
   void announce(bool Leaving);
   void runAnnouncer();
@@ -68,7 +68,7 @@
   std::condition_variable m_Changed;
   TargetModel m_Model;
   std::mt19937_64 m_Random;
-  std::map<std::uint64_t, Open> m_Open;
+  std::map<std::uint64_t, OpenOrder> m_OpenOrders;
   std::uint64_t m_NextTicket = 1;
   std::map<std::uint64_t, Execution> m_Executions;
   Journal m_Journal;
--- a/tests/unit-oracle.cpp
+++ b/tests/unit-oracle.cpp
@@ -12,23 +12,23 @@
   return TimePoint(std::chrono::milliseconds(1'000'000 + Millis));
 }
 
-Attempt makeAttempt(int Sent, int End, Answer Told) {
+Attempt makeAttempt(int Sent, int End, Answer AnswerKind) {
   Attempt Result;
   Result.m_Sent = at(Sent);
   Result.m_End = at(End);
-  Result.m_Answer = Told;
-  Result.m_BodyWhole = Told == Answer::Done;
+  Result.m_Answer = AnswerKind;
+  Result.m_BodyIntact = AnswerKind == Answer::Done;
   return Result;
 }
 
-Execution makeRun(const std::string &Id, int Begin, int End,
-                  std::uint64_t Term = 1, bool Completed = true) {
+Execution makeExecution(const std::string &Id, int Begin, int End,
+                        std::uint64_t EpochNumber = 1, bool Completed = true) {
   Execution Result;
   Result.m_RequestId = Id;
   Result.m_Service = "orders";
   Result.m_Key = "k";
   Result.m_Shard = "1";
-  Result.m_Epoch = Epoch(Term);
+  Result.m_Epoch = Epoch(EpochNumber);
   Result.m_Start = at(Begin);
   Result.m_End = at(End);
   Result.m_Completed = Completed;
@@ -36,10 +36,10 @@
 }
 
 /// Two instances; stream 0 is non-idempotent, stream 1 idempotent.
-struct Run {
+struct TestRun {
   Observations m_Observed;
 
-  Run() {
+  TestRun() {
     LoadStream Orders;
     Orders.m_Idempotent = false;
     m_Observed.m_Streams = {Orders, LoadStream{}};
@@ -47,8 +47,8 @@
                               {"two", "b", "orders", {}}};
   }
 
-  void ask(const std::string &Id, std::vector<Attempt> Attempts,
-           std::uint32_t Stream = 0) {
+  void addRequest(const std::string &Id, std::vector<Attempt> Attempts,
+                  std::uint32_t Stream = 0) {
     m_Observed.m_Requests.push_back({.m_Id = Id,
                                      .m_Stream = Stream,
                                      .m_Key = "k",
@@ -56,11 +56,11 @@
                                      .m_Attempts = std::move(Attempts)});
   }
 
-  void execute(std::size_t Instance, Execution Order) {
+  void addOrder(std::size_t Instance, Execution Order) {
     m_Observed.m_Instances.at(Instance).m_Orders.push_back(std::move(Order));
   }
 
-  std::vector<ViolationKind> check() const {
+  std::vector<ViolationKind> violationKinds() const {
     std::vector<ViolationKind> Kinds;
     for (const Violation &Each : findViolations(m_Observed))
       Kinds.push_back(Each.m_Kind);
@@ -73,102 +73,102 @@
 } // namespace
 
 TEST_CASE("a correct run has no violation") {
-  Run Good;
-  Good.ask("r1", {makeAttempt(0, 10, Answer::Done)});
-  Good.execute(0, makeRun("r1", 2, 8));
-  Good.ask("r2", {makeAttempt(20, 25, Answer::NotRun),
-                  makeAttempt(30, 40, Answer::Done)});
-  Good.execute(1, makeRun("r2", 32, 38, 2));
-  CHECK(Good.check().empty());
+  TestRun Correct;
+  Correct.addRequest("r1", {makeAttempt(0, 10, Answer::Done)});
+  Correct.addOrder(0, makeExecution("r1", 2, 8));
+  Correct.addRequest("r2", {makeAttempt(20, 25, Answer::NotRun),
+                            makeAttempt(30, 40, Answer::Done)});
+  Correct.addOrder(1, makeExecution("r2", 32, 38, 2));
+  CHECK(Correct.violationKinds().empty());
 }
 
 TEST_CASE("a non-idempotent request that ran twice is found") {
-  Run Bad;
-  Bad.ask("r", {makeAttempt(0, 40, Answer::Done)});
-  Bad.execute(0, makeRun("r", 2, 8));
-  Bad.execute(0, makeRun("r", 12, 18));
-  CHECK(Bad.check() == Kinds{ViolationKind::RanTwice});
-  Bad.m_Observed.m_Requests[0].m_Stream = 1;
-  CHECK(Bad.check().empty());
+  TestRun Faulty;
+  Faulty.addRequest("r", {makeAttempt(0, 40, Answer::Done)});
+  Faulty.addOrder(0, makeExecution("r", 2, 8));
+  Faulty.addOrder(0, makeExecution("r", 12, 18));
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::RanTwice});
+  Faulty.m_Observed.m_Requests[0].m_Stream = 1;
+  CHECK(Faulty.violationKinds().empty());
 }
 
 TEST_CASE("a false not run is found") {
   SUBCASE("run before the refusal of a later attempt") {
-    Run Bad;
-    Bad.ask("r", {makeAttempt(0, 10, Answer::Broken),
-                  makeAttempt(20, 30, Answer::NotRun)});
-    Bad.execute(0, makeRun("r", 2, 8));
-    CHECK(Bad.check() == Kinds{ViolationKind::FalseNotRun});
+    TestRun Faulty;
+    Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Broken),
+                            makeAttempt(20, 30, Answer::NotRun)});
+    Faulty.addOrder(0, makeExecution("r", 2, 8));
+    CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseNotRun});
   }
   SUBCASE("run after the last refusal") {
-    Run Bad;
-    Bad.ask("r", {makeAttempt(0, 10, Answer::Wait)});
-    Bad.execute(0, makeRun("r", 50, 60));
-    CHECK(Bad.check() == Kinds{ViolationKind::FalseNotRun});
+    TestRun Faulty;
+    Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Wait)});
+    Faulty.addOrder(0, makeExecution("r", 50, 60));
+    CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseNotRun});
   }
   SUBCASE("idempotent and every attempt refused") {
-    Run Bad;
-    Bad.ask("r", {makeAttempt(0, 10, Answer::NotRun)}, 1);
-    Bad.execute(0, makeRun("r", 2, 8));
-    CHECK(Bad.check() == Kinds{ViolationKind::FalseNotRun});
+    TestRun Faulty;
+    Faulty.addRequest("r", {makeAttempt(0, 10, Answer::NotRun)}, 1);
+    Faulty.addOrder(0, makeExecution("r", 2, 8));
+    CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseNotRun});
   }
 }
 
 TEST_CASE("an answer without a completed order is found") {
-  Run Bad;
-  Bad.ask("r", {makeAttempt(0, 10, Answer::Done)});
-  CHECK(Bad.check() == Kinds{ViolationKind::FalseDone});
-  Bad.execute(0, makeRun("r", 2, 8, 1, /*Completed=*/false));
-  CHECK(Bad.check() == Kinds{ViolationKind::FalseDone});
+  TestRun Faulty;
+  Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Done)});
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseDone});
+  Faulty.addOrder(0, makeExecution("r", 2, 8, 1, /*Completed=*/false));
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseDone});
 }
 
 TEST_CASE("a wrong body is found") {
-  Run Bad;
-  Bad.ask("r", {makeAttempt(0, 10, Answer::Done)});
-  Bad.m_Observed.m_Requests[0].m_Attempts[0].m_BodyWhole = false;
-  Bad.execute(0, makeRun("r", 2, 8));
-  CHECK(Bad.check() == Kinds{ViolationKind::WrongBody});
+  TestRun Faulty;
+  Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Done)});
+  Faulty.m_Observed.m_Requests[0].m_Attempts[0].m_BodyIntact = false;
+  Faulty.addOrder(0, makeExecution("r", 2, 8));
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::WrongBody});
 }
 
 TEST_CASE("two owners at one time are found") {
-  Run Bad;
-  Bad.execute(0, makeRun("r1", 0, 20, 1));
-  Bad.execute(1, makeRun("r2", 10, 15, 2));
-  CHECK(Bad.check() == Kinds{ViolationKind::TwoOwners});
+  TestRun Faulty;
+  Faulty.addOrder(0, makeExecution("r1", 0, 20, 1));
+  Faulty.addOrder(1, makeExecution("r2", 10, 15, 2));
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::TwoOwners});
 }
 
 TEST_CASE("an overlap is found behind a later short order") {
-  Run Bad;
-  Bad.execute(0, makeRun("long", 0, 50, 1));
-  Bad.execute(0, makeRun("short", 10, 15, 1));
-  Bad.execute(1, makeRun("r", 30, 40, 2));
-  CHECK(Bad.check() == Kinds{ViolationKind::TwoOwners});
+  TestRun Faulty;
+  Faulty.addOrder(0, makeExecution("long", 0, 50, 1));
+  Faulty.addOrder(0, makeExecution("short", 10, 15, 1));
+  Faulty.addOrder(1, makeExecution("r", 30, 40, 2));
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::TwoOwners});
 }
 
 TEST_CASE("an old epoch after a newer one is found") {
-  Run Bad;
-  Bad.execute(1, makeRun("r2", 0, 5, 2));
-  Bad.execute(0, makeRun("r1", 10, 20, 1));
-  CHECK(Bad.check() == Kinds{ViolationKind::OldEpoch});
+  TestRun Faulty;
+  Faulty.addOrder(1, makeExecution("r2", 0, 5, 2));
+  Faulty.addOrder(0, makeExecution("r1", 10, 20, 1));
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::OldEpoch});
 }
 
 TEST_CASE("new work at an instance taken out is found") {
-  Run Bad;
-  Bad.execute(0, makeRun("r", 100, 110));
-  Bad.m_Observed.m_NoNewWork = {{"one", at(50), at(100)}};
-  CHECK(Bad.check().empty());
-  Bad.m_Observed.m_NoNewWork = {{"one", at(50), at(200)}};
-  CHECK(Bad.check() == Kinds{ViolationKind::LateWork});
+  TestRun Faulty;
+  Faulty.addOrder(0, makeExecution("r", 100, 110));
+  Faulty.m_Observed.m_NoStartWindows = {{"one", at(50), at(100)}};
+  CHECK(Faulty.violationKinds().empty());
+  Faulty.m_Observed.m_NoStartWindows = {{"one", at(50), at(200)}};
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::LateWork});
 }
 
 TEST_CASE("a request cut by a graceful shutdown is found") {
-  Run Bad;
-  Bad.ask("r", {makeAttempt(0, 60, Answer::Broken)});
-  Bad.m_Observed.m_Shutdowns = {{"one", 1, at(50), at(100)}};
-  CHECK(Bad.check().empty());
-  Bad.m_Observed.m_Shutdowns = {{"one", 0, at(50), at(100)}};
-  CHECK(Bad.check() == Kinds{ViolationKind::Cut});
-  Bad.m_Observed.m_Requests.clear();
-  Bad.execute(0, makeRun("r2", 40, 70, 1, /*Completed=*/false));
-  CHECK(Bad.check() == Kinds{ViolationKind::Cut});
+  TestRun Faulty;
+  Faulty.addRequest("r", {makeAttempt(0, 60, Answer::Broken)});
+  Faulty.m_Observed.m_Shutdowns = {{"one", 1, at(50), at(100)}};
+  CHECK(Faulty.violationKinds().empty());
+  Faulty.m_Observed.m_Shutdowns = {{"one", 0, at(50), at(100)}};
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::Cut});
+  Faulty.m_Observed.m_Requests.clear();
+  Faulty.addOrder(0, makeExecution("r2", 40, 70, 1, /*Completed=*/false));
+  CHECK(Faulty.violationKinds() == Kinds{ViolationKind::Cut});
 }
--- a/tests/unit-stand-ins.cpp
+++ b/tests/unit-stand-ins.cpp
@@ -23,12 +23,12 @@
   return Result;
 }
 
-TargetOrder makeOrder(const std::string &Id, std::uint64_t Term = 1) {
+TargetOrder makeOrder(const std::string &Id, std::uint64_t EpochNumber = 1) {
   return {.m_RequestId = Id,
           .m_Service = "orders",
           .m_Key = "k",
           .m_Shard = "3",
-          .m_Epoch = Epoch(Term),
+          .m_Epoch = Epoch(EpochNumber),
           .m_ServiceTime = milliseconds(10)};
 }
 
@@ -55,8 +55,8 @@
   Table.commit(makeWrite("a", 1, std::nullopt));
   CHECK(Table.read({{}, {"a"}}).empty());
   CHECK(Table.commit(makeWrite("a", 1, "2")).m_Status == TableStatus::Conflict);
-  const TableReply Again = Table.commit(makeWrite("a", 0, "2"));
-  CHECK(Again.m_Rows.at(0).m_Version == RowVersion(3));
+  const TableReply Rewritten = Table.commit(makeWrite("a", 0, "2"));
+  CHECK(Rewritten.m_Rows.at(0).m_Version == RowVersion(3));
 }
 
 TEST_CASE("a target runs no more orders than it has slots") {
@@ -84,12 +84,12 @@
     Model.arrive(Index, Order, Start);
   }
   CHECK(Model.advance(Start).empty());
-  const TimePoint Late = Start + milliseconds(1000);
-  CHECK(Model.advance(Late).size() == 5);
+  const TimePoint CollapseTime = Start + milliseconds(1000);
+  CHECK(Model.advance(CollapseTime).size() == 5);
   CHECK(Model.collapses() == 1);
-  CHECK(Model.restarting(Late + milliseconds(1999)));
-  CHECK(Model.workingSlots(Late + seconds(2)) == 2);
-  CHECK(Model.workingSlots(Late + seconds(12)) == 10);
+  CHECK(Model.restarting(CollapseTime + milliseconds(1999)));
+  CHECK(Model.workingSlots(CollapseTime + seconds(2)) == 2);
+  CHECK(Model.workingSlots(CollapseTime + seconds(12)) == 10);
 }
 
 TEST_CASE("a cold target within its working slots does not collapse") {
@@ -148,12 +148,12 @@
   rc::check("cut, changed or foreign bodies are noticed", [] {
     const auto Size = *rc::gen::inRange<std::size_t>(1, 3000);
     const std::string Body = makePayload("r-1", Size);
-    RC_ASSERT(isWholePayload(Body, "r-1"));
-    RC_ASSERT(!isWholePayload(Body, "r-2"));
+    RC_ASSERT(isIntactPayload(Body, "r-1"));
+    RC_ASSERT(!isIntactPayload(Body, "r-2"));
     const auto Cut = *rc::gen::inRange<std::size_t>(0, Body.size());
-    RC_ASSERT(!isWholePayload(std::string_view(Body).substr(0, Cut), "r-1"));
+    RC_ASSERT(!isIntactPayload(std::string_view(Body).substr(0, Cut), "r-1"));
     std::string Changed = Body;
     Changed[Cut] ^= 1;
-    RC_ASSERT(!isWholePayload(Changed, "r-1"));
+    RC_ASSERT(!isIntactPayload(Changed, "r-1"));
   });
 }
