--- a/bench/core/added_latency.cpp
+++ b/bench/core/added_latency.cpp
@@ -1,4 +1,4 @@
-// Runs of a single daemon and its target.
+// Runs one daemon and its target, and a second target for the direct runs.
 #include "bench/core/added_latency.h"
 
 #include "bench/core/clock.h"
@@ -13,12 +13,13 @@
 
 namespace {
 
+/// Requests per second.
 constexpr std::array<double, 2> Rates{500, 4500};
 constexpr Duration RunLength = std::chrono::seconds(5);
 constexpr std::uint32_t KeyCount = 200;
 
-/// A target of its own, since the daemon may take all connections of the one
-/// beside it.
+/// A separate target for the direct runs: the daemon may use up the connection
+/// limit of its own target.
 class StandaloneTarget {
 public:
   StandaloneTarget(const std::filesystem::path &Programs,
--- a/bench/core/arrivals.cpp
+++ b/bench/core/arrivals.cpp
@@ -1,4 +1,4 @@
-// Exponential gaps and Zipf keys.
+// Exponentially distributed gaps between arrivals, Zipf-distributed keys.
 #include "bench/core/arrivals.h"
 
 #include <algorithm>
--- a/bench/core/arrivals.h
+++ b/bench/core/arrivals.h
@@ -1,4 +1,4 @@
-// Seeded arrival times and keys of a load plan.
+// Draws the arrival times and keys of a load plan from its seed.
 #pragma once
 
 #include "bench/core/load_plan.h"
@@ -14,15 +14,21 @@
   std::string m_Key;
 };
 
-/// Poisson arrivals per stream. The same seed gives the same arrivals.
+/// A Poisson process for each stream. The same seed gives the same arrivals.
 class Arrivals {
 public:
   Arrivals(const LoadPlan &Plan, TimePoint Start);
 
-  /// Time of the next arrival; none when every rate is 0.
+  /// Returns the time of the next arrival over all streams; none when every
+  /// rate is 0.
   std::optional<TimePoint> nextTime() const;
+  /// Returns the next arrival and draws the one after it. At least one stream
+  /// must have a rate above 0.
   Arrival takeNext();
+  /// Changes the rate of a stream, in requests per second, and draws its next
+  /// arrival anew from \p Now.
   void setRate(std::size_t Stream, double Rate, TimePoint Now);
+  /// Replaces every key of a stream by a new one.
   void renameKeys(std::size_t Stream);
 
 private:
@@ -31,6 +37,7 @@
     std::mt19937_64 m_Random;
     std::discrete_distribution<std::uint32_t> m_KeyRanks;
     TimePoint m_Next;
+    /// Part of each key; grows with renameKeys().
     std::uint32_t m_KeyGeneration = 0;
   };
 
--- a/bench/core/call.cpp
+++ b/bench/core/call.cpp
@@ -1,4 +1,4 @@
-// The caller's headers and the reading of answers.
+// Request headers of a caller, and the classification of answers.
 #include "bench/core/call.h"
 
 #include "bench/core/clock.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// An attempt ends this long after its deadline at the latest.
+/// An attempt is abandoned this long after its deadline.
 constexpr Duration DeadlineSlack = std::chrono::milliseconds(500);
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(500);
 
--- a/bench/core/call.h
+++ b/bench/core/call.h
@@ -1,4 +1,4 @@
-// One attempt of a request on libcurl.
+// Sends one attempt of a request with libcurl and reads its answer.
 #pragma once
 
 #include "bench/core/load_plan.h"
@@ -8,7 +8,7 @@
 
 namespace balsamwheel::bench {
 
-/// Reusable: prepare(), run the handle, finish().
+/// Reusable: call prepare(), run the handle to its end, then call finish().
 class Call {
 public:
   Call();
@@ -16,15 +16,20 @@
   Call(const Call &) = delete;
   Call &operator=(const Call &) = delete;
 
-  /// Sets the handle up for the next attempt of a request.
+  /// Sets up the handle for the next attempt of a request.
   void prepare(RequestRecord &Record, const LoadStream &Stream,
                const std::string &Entrance, std::uint32_t EntranceIndex);
+  /// Reads the answer of the finished handle.
+  ///
+  /// \param Direct whether the entrance is a target, whose answers with status
+  /// 200 count as done.
   Attempt finish(CURLcode Result, bool Direct);
 
   CURL *handle() const { return m_Handle; }
   RequestRecord &record() const { return *m_Record; }
-  /// "host:port" of the owner; empty when not told.
+  /// "host:port" of the owner, from the answer; empty when it names none.
   const std::string &ownerHint() const { return m_OwnerHint; }
+  /// Delay before the next attempt that the answer asks for; 0 without one.
   Duration retryAfter() const { return m_RetryAfter; }
 
 private:
--- a/bench/core/clock.h
+++ b/bench/core/clock.h
@@ -1,14 +1,16 @@
-// The clock of the bench: one machine, so all its processes share it.
+// The clock of the bench. All its processes run on one machine, so their times
+// can be compared.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
 
 namespace balsamwheel::bench {
 
-/// Returns the time since boot, suspension included.
+/// Returns the time since boot, including time in which the system was
+/// suspended.
 TimePoint now();
 
-/// Returns the microseconds since boot.
+/// Returns a time as microseconds since boot.
 std::int64_t toMicros(TimePoint Time);
 
 } // namespace balsamwheel::bench
--- a/bench/core/cluster.cpp
+++ b/bench/core/cluster.cpp
@@ -1,4 +1,4 @@
-// Starting, steering and reading out the processes of a deployment.
+// Starts, controls and queries the processes of a deployment.
 #include "bench/core/cluster.h"
 
 #include "balsamwheel/detail/manifest/document.h"
@@ -28,7 +28,7 @@
   std::string Template =
       (std::filesystem::temp_directory_path() / "balsamwheel-XXXXXX").string();
   if (mkdtemp(Template.data()) == nullptr)
-    throw std::runtime_error("cannot make a temporary folder");
+    throw std::runtime_error("cannot create a temporary folder");
   return Template;
 }
 
@@ -89,7 +89,8 @@
   const TimePoint End = now() + StartTimeout;
   while (!getJson(platformUrl() + "/v1/counters").is_object()) {
     if (now() > End)
-      throw std::runtime_error("the platform stand-in does not answer");
+      throw std::runtime_error(
+          "the platform stand-in did not answer within the start time-out");
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
 }
@@ -218,8 +219,10 @@
     for (std::uint32_t Number = 0; Number < ProbesPerStream; ++Number)
       while (!probe(Stream, Number)) {
         if (now() > End)
-          throw std::runtime_error("no service of " + Stream.m_Name +
-                                   "; logs in " + m_Folder.string());
+          throw std::runtime_error("probe requests of stream " + Stream.m_Name +
+                                   " did not succeed within the start "
+                                   "time-out; logs in " +
+                                   m_Folder.string());
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
       }
   }
@@ -229,7 +232,7 @@
   for (std::size_t Index = 0; Index < m_Servers.size(); ++Index)
     if (m_Servers[Index].m_Plan.m_Instance == Instance)
       return Index;
-  throw std::runtime_error("no instance " + Instance);
+  throw std::runtime_error("unknown instance " + Instance);
 }
 
 std::vector<std::size_t> Cluster::indicesOf(const std::string &Domain) const {
@@ -268,7 +271,7 @@
 
 void Cluster::setPlatformFault(const nlohmann::json &Fault) {
   if (postJson(platformUrl() + "/v1/faults", Fault).m_Status != 200)
-    throw std::runtime_error("the platform did not take a fault");
+    throw std::runtime_error("the platform stand-in rejected a fault setting");
 }
 
 void Cluster::setTargetFault(std::size_t Index, const nlohmann::json &Fault) {
@@ -276,7 +279,7 @@
                           loopbackAddress(m_Servers.at(Index).m_ControlPort) +
                           "/v1/faults";
   if (postJson(Url, Fault).m_Status != 200)
-    throw std::runtime_error("a target did not take a fault");
+    throw std::runtime_error("a target stand-in rejected a fault setting");
 }
 
 std::optional<Config> Cluster::readConfig() {
--- a/bench/core/delay_queue.cpp
+++ b/bench/core/delay_queue.cpp
@@ -1,4 +1,4 @@
-// A thread that waits for the earliest function.
+// The thread sleeps until the earliest task is due.
 #include "bench/core/delay_queue.h"
 
 #include "bench/core/clock.h"
--- a/bench/core/delay_queue.h
+++ b/bench/core/delay_queue.h
@@ -1,4 +1,4 @@
-// Runs functions at given times on one thread.
+// Runs functions at given times on a thread of its own.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -18,7 +18,8 @@
   DelayQueue(const DelayQueue &) = delete;
   DelayQueue &operator=(const DelayQueue &) = delete;
 
-  /// Runs \p Work at \p Time, at once when that has passed.
+  /// Runs \p Task at \p Time, or immediately when that has passed. Thread-safe.
+  /// The destructor discards tasks that have not run.
   void runAt(TimePoint Time, std::function<void()> Task);
 
 private:
@@ -28,7 +29,7 @@
   std::condition_variable m_Changed;
   std::multimap<TimePoint, std::function<void()>> m_Tasks;
   bool m_Stopped = false;
-  /// Last: it uses the members above.
+  /// Declared last, since the thread uses the members above.
   std::thread m_Thread;
 };
 
--- a/bench/core/deployment.cpp
+++ b/bench/core/deployment.cpp
@@ -1,4 +1,4 @@
-// Sizes and mixes of "valpadana" and "etna-verde".
+// Servers and request mixes of the deployments "valpadana" and "etna-verde".
 #include "bench/core/deployment.h"
 
 #include <array>
--- a/bench/core/deployment.h
+++ b/bench/core/deployment.h
@@ -1,4 +1,4 @@
-// The two deployments: servers and the mix of requests.
+// The two deployments that the bench can run: their servers and request mixes.
 #pragma once
 
 #include "bench/core/load_plan.h"
@@ -21,11 +21,11 @@
   std::string m_DomainPrefix;
   std::string m_Region;
   std::vector<ServerPlan> m_Servers;
-  /// Rates for the load factor 1.
+  /// The request mix, with rates for the load factor 1.
   std::vector<LoadStream> m_Streams;
 };
 
-/// Returns a deployment by name; none when there is none.
+/// Returns the deployment with this name, if there is one.
 std::optional<Deployment> findDeployment(const std::string &Name);
 
 } // namespace balsamwheel::bench
--- a/bench/core/experiment.cpp
+++ b/bench/core/experiment.cpp
@@ -1,4 +1,4 @@
-// The course of one run, with progress.
+// Executes the runs of an experiment and prints their progress.
 #include "bench/core/experiment.h"
 
 #include "bench/core/clock.h"
@@ -18,7 +18,7 @@
   return std::chrono::duration<double>(now() - Start).count();
 }
 
-/// Prints a line each second while a run goes on.
+/// Prints a line every second during a run.
 class Progress {
 public:
   Progress(Rig &TestRig, TimePoint Start, std::ostream &Out)
@@ -70,7 +70,7 @@
   return Plan;
 }
 
-/// The times between actions: before the first, after each.
+/// Splits a run at its actions: one window before the first, one after each.
 std::vector<TimeWindow> makeWindows(const Scenario &Definition,
                                     const std::vector<TimePoint> &ActionTimes,
                                     TimePoint Start, TimePoint End) {
--- a/bench/core/experiment_report.cpp
+++ b/bench/core/experiment_report.cpp
@@ -1,4 +1,4 @@
-// Tables and JSON of experiment results.
+// Prints the results of experiments as tables and writes them as JSON.
 #include "bench/core/experiment.h"
 
 #include <algorithm>
--- a/bench/core/http_client.cpp
+++ b/bench/core/http_client.cpp
@@ -1,4 +1,4 @@
-// Blocking requests on libcurl's easy interface.
+// Blocking requests with libcurl's easy interface.
 #include "bench/core/http_client.h"
 
 #include <curl/curl.h>
--- a/bench/core/http_server.cpp
+++ b/bench/core/http_server.cpp
@@ -1,4 +1,4 @@
-// libmicrohttpd server with suspended connections for late answers.
+// Suspends libmicrohttpd connections until their answer is there.
 #include "bench/core/http_server.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 
 namespace {
 
-/// One request and the state of its answer.
+/// One request, the state of its answer and its connection.
 class Exchange final : public Responder {
 public:
   explicit Exchange(MHD_Connection *Connection) : m_Connection(Connection) {}
@@ -41,7 +41,8 @@
       resume();
   }
 
-  /// Suspends the connection unless the answer is there.
+  /// Suspends the connection unless the answer is there already. \returns
+  /// whether it is suspended.
   bool suspendUnlessAnswered() {
     const std::lock_guard Lock(m_Mutex);
     if (m_Answered)
@@ -84,7 +85,7 @@
   ServerAnswer m_Answer;
   bool m_Answered = false;
   bool m_Suspended = false;
-  /// The connection is gone; m_Connection must not be used.
+  /// The connection has ended, and m_Connection must not be used.
   bool m_Closed = false;
 };
 
@@ -207,7 +208,7 @@
   ServerHandler m_Handler;
   MHD_Daemon *m_Daemon = nullptr;
   std::mutex m_Mutex;
-  /// Requests that are not completed.
+  /// Exchanges whose connection has not ended.
   std::set<ExchangePtr> m_Open;
 };
 
--- a/bench/core/http_server.h
+++ b/bench/core/http_server.h
@@ -1,4 +1,4 @@
-// A small HTTP server on libmicrohttpd whose answers may come later and from
+// A small HTTP server on libmicrohttpd whose handlers may answer later and from
 // any thread.
 #pragma once
 
@@ -19,9 +19,10 @@
   std::map<std::string, std::string> m_Headers;
   std::string m_Body;
 
-  /// Returns a header's value, or an empty string.
+  /// Returns the value of a header; empty when it is absent.
   std::string header(const std::string &LowerName) const;
-  /// Returns a header as a number, 0 when absent or no number.
+  /// Returns the value of a header as a number; 0 when it is absent or not a
+  /// number.
   std::uint64_t numericHeader(const std::string &LowerName) const;
 };
 
@@ -29,7 +30,7 @@
   std::uint16_t m_Status = 200;
   std::vector<std::pair<std::string, std::string>> m_Headers;
   std::string m_Body;
-  /// Close the connection without an answer.
+  /// Closes the connection instead of answering.
   bool m_Drop = false;
 };
 
@@ -49,15 +50,18 @@
   unsigned m_MaxConnections = 1024;
 };
 
-/// One polling thread. The handler runs on it and must not block.
+/// Runs one polling thread. The handler is called on it and must not block.
 class HttpServer {
 public:
-  /// \throws std::runtime_error when the port can't be opened.
+  /// Listens at once; port 0 picks a free one.
+  ///
+  /// \throws std::runtime_error when it can't listen on the port.
   HttpServer(const HttpServerOptions &Options, ServerHandler Handler);
   ~HttpServer();
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
 
+  /// Returns the port that the server listens on.
   std::uint16_t port() const;
 
 private:
--- a/bench/core/journal.cpp
+++ b/bench/core/journal.cpp
@@ -1,4 +1,5 @@
-// JSON lines: {"run","ticket",...}; tickets are unique in one run.
+// JSON lines. The two lines of an order share its "ticket", which is unique in
+// the file.
 #include "bench/core/journal.h"
 
 #include "bench/core/clock.h"
@@ -14,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-/// Distinguishes runs that append to the same file.
+/// Makes tickets unique over the processes that append to one file.
 std::string ticketName(std::uint64_t Ticket) {
   return std::to_string(getpid()) + "-" + std::to_string(Ticket);
 }
@@ -45,7 +46,7 @@
 
 void Journal::write(const std::string &Line) const {
   if (m_File >= 0 && ::write(m_File, Line.data(), Line.size()) < 0)
-    throw std::runtime_error("cannot write the journal");
+    throw std::runtime_error("cannot write to the journal");
 }
 
 void Journal::recordStart(std::uint64_t Ticket, const Execution &Order) {
--- a/bench/core/load_generator.cpp
+++ b/bench/core/load_generator.cpp
@@ -1,4 +1,4 @@
-// The sending thread, on libcurl's multi interface.
+// The thread that sends and receives, with libcurl's multi interface.
 #include "bench/core/load_generator.h"
 
 #include "bench/core/arrivals.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// An entrance that could not be reached is left out for this long.
+/// An entrance is avoided for this long after a failed connection.
 constexpr Duration EntranceBackOff = std::chrono::seconds(1);
 constexpr Duration MinRetryDelay = std::chrono::milliseconds(20);
 constexpr long MaxIdleConnections = 4096;
@@ -231,10 +231,13 @@
   /// Guards m_Arrivals.
   std::mutex m_Mutex;
   std::optional<Arrivals> m_Arrivals;
-  /// A deque: calls point to its elements.
+  /// A deque, because calls and retries hold pointers to its elements.
   std::deque<RequestRecord> m_Records;
+  /// By the time at which to send.
   std::multimap<TimePoint, RequestRecord *> m_Retries;
+  /// Index of the owner's entrance, by service and key.
   std::unordered_map<std::string, std::uint32_t> m_OwnerHints;
+  /// By entrance.
   std::vector<TimePoint> m_BackOffUntil;
   CURLM *m_Multi;
   std::unordered_map<CURL *, std::unique_ptr<Call>> m_OpenCalls;
--- a/bench/core/load_plan.h
+++ b/bench/core/load_plan.h
@@ -1,4 +1,5 @@
-// What callers send: streams of requests of one kind each.
+// What callers send, as streams of similar requests, and the record of how each
+// request went.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -9,9 +10,9 @@
 
 namespace balsamwheel::bench {
 
-/// Requests of one class of one service.
+/// Requests to one service in one class.
 struct LoadStream {
-  /// Shown in tables, e.g. "announcements/register".
+  /// Name in reports, e.g. "announcements/register".
   std::string m_Name;
   std::string m_Service;
   std::string m_Class;
@@ -19,12 +20,14 @@
   std::string m_Path;
   bool m_Keyed = true;
   bool m_Idempotent = true;
+  /// Number of different keys.
   std::uint32_t m_Keys = 1000;
   /// Exponent of the Zipf distribution over the keys; 0 for uniform.
   double m_Zipf = 0;
-  /// Requests a second, on average.
+  /// Mean number of requests per second.
   double m_Rate = 0;
   Duration m_Deadline = std::chrono::seconds(1);
+  /// Size of the request body in bytes.
   std::size_t m_BodySize = 0;
 };
 
@@ -33,32 +36,33 @@
   /// "host:port" of the entrances.
   std::vector<std::string> m_Entrances;
   std::uint64_t m_Seed = 1;
-  /// Sends of one request, the first included.
+  /// Most attempts of one request, including the first.
   std::uint32_t m_MaxAttempts = 200;
-  /// A caller gives up this long after the intended send.
+  /// A caller makes no further attempt this long after the intended send time.
   Duration m_GiveUpAfter = std::chrono::seconds(8);
-  /// Times that a caller asks again about a non-idempotent request after an
-  /// unknown outcome.
+  /// Most attempts of a non-idempotent request with an unknown outcome after
+  /// which the caller sends it again.
   std::uint32_t m_UnknownRetries = 2;
-  /// Share of requests that go straight to the owner once it is known.
+  /// Share of the requests with a known owner whose first attempt goes to its
+  /// entrance. The others, and all retries, go to a random one.
   double m_HintShare = 0.7;
-  /// The entrances are targets: an answer with status 200 is done.
+  /// The entrances are targets, and an answer with status 200 counts as done.
   bool m_Direct = false;
-  /// Spins between sends for exact send times.
+  /// Busy-waits before the next send instead of sleeping, for exact send times.
   bool m_BusyWait = false;
 };
 
-/// How one attempt ended for its caller.
+/// How one attempt ended, as seen by its caller.
 enum class Answer : std::uint8_t {
   Done,
   NotRun,
   Unknown,
   Wait,
-  /// No connection: nothing was sent.
+  /// The connection could not be opened, and nothing was sent.
   NoConnection,
-  /// The connection broke, or no answer came in time.
+  /// The connection broke, or no answer arrived in time.
   Broken,
-  /// An answer without a known outcome.
+  /// The answer carries no outcome that the caller knows.
   Malformed,
 };
 
@@ -73,20 +77,20 @@
   std::uint32_t m_Entrance = 0;
   std::uint16_t m_Status = 0;
   std::string m_Reason;
-  /// For Done: the body is whole and answers this request.
+  /// For Done: the body is complete and belongs to this request.
   bool m_BodyIntact = false;
 };
 
-/// A request and everything its caller was told.
+/// A request and all attempts of its caller.
 struct RequestRecord {
   std::string m_Id;
   std::uint32_t m_Stream = 0;
   std::string m_Key;
-  /// When the open loop meant to send it.
+  /// Scheduled time of the first attempt.
   TimePoint m_Intended;
   std::vector<Attempt> m_Attempts;
 
-  /// Returns the final answer.
+  /// Returns the answer to the last attempt.
   Answer final() const {
     return m_Attempts.empty() ? Answer::Broken : m_Attempts.back().m_Answer;
   }
--- a/bench/core/measures.cpp
+++ b/bench/core/measures.cpp
@@ -1,4 +1,4 @@
-// Latencies, unavailable time, imbalance and churn.
+// Latencies, unavailable time, imbalance, churn and amplification.
 #include "bench/core/measures.h"
 
 #include "balsamwheel/detail/core/hash.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// An answer later than this counts as unavailable time.
+/// Attempts that take longer than this count as unavailable time.
 constexpr Duration SlowAttemptThreshold = std::chrono::milliseconds(500);
 
 double toMillis(Duration Value) {
@@ -22,7 +22,7 @@
   return std::chrono::duration<double>(Value).count();
 }
 
-/// Collects the requests of one class.
+/// Collects the requests of one stream.
 struct ClassCollector {
   ClassMeasures m_Result;
   std::vector<double> m_LatenciesMs;
@@ -56,7 +56,7 @@
 
 using ShardKey = std::pair<std::string, std::uint32_t>;
 
-/// A time without service, as one caller saw it.
+/// A time in which a shard was unavailable, as seen by one caller.
 struct Outage {
   TimePoint m_From;
   TimePoint m_To;
@@ -68,7 +68,7 @@
   bool m_Served;
 };
 
-/// The attempts for each shard, without refusals for load.
+/// Returns the attempts for each shard, without those refused for overload.
 std::map<ShardKey, std::vector<ShardAttempt>>
 attemptsByShard(const Observations &Observed, const Manifest &Services) {
   std::map<ShardKey, std::vector<ShardAttempt>> Result;
@@ -92,8 +92,9 @@
   return Result;
 }
 
-/// Sums the union of gaps: from an attempt that failed to the end of the next
-/// one that was served, and the whole of a slow attempt.
+/// Returns the length of the union of all outages. An outage reaches from the
+/// start of a failed attempt to the end of the next successful one, or over the
+/// whole of a slow attempt.
 double unavailableSeconds(std::vector<ShardAttempt> Attempts) {
   std::ranges::sort(Attempts, {}, &ShardAttempt::m_Begin);
   TimePoint Next = TimePoint::max();
--- a/bench/core/oracle.cpp
+++ b/bench/core/oracle.cpp
@@ -1,4 +1,4 @@
-// One check per kind of violation.
+// The checks for each kind of violation.
 #include "bench/core/oracle.h"
 
 #include "bench/core/clock.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// An execution and where it took place.
+/// An order and the instance that ran it.
 struct PlacedExecution {
   const Execution *m_Order;
   const InstanceExecutions *m_Instance;
@@ -49,7 +49,7 @@
   return Each.m_Answer == Answer::NotRun || Each.m_Answer == Answer::Wait;
 }
 
-/// Checks the answers to one request against where it ran.
+/// Checks the answers to one request against the orders that ran for it.
 class RequestCheck {
 public:
   RequestCheck(const RequestRecord &Request, bool Idempotent,
@@ -76,7 +76,8 @@
     m_Violations.push_back({Kind, std::move(Detail)});
   }
 
-  /// "Not run" holds for the request so far, and until the next attempt.
+  /// For a non-idempotent request, "not run" covers all attempts so far: no
+  /// order may start before the next attempt is sent.
   void checkNotRun() {
     for (std::size_t Index = 0; Index < m_Request.m_Attempts.size(); ++Index) {
       const Attempt &Each = m_Request.m_Attempts[Index];
@@ -93,8 +94,8 @@
     }
   }
 
-  /// An idempotent request may be sent again, so each answer is about its
-  /// own attempt: only when all say "not run" nothing may have run.
+  /// An idempotent request may be sent again at any time, so each answer covers
+  /// its own attempt only: no order may have run if all answers are "not run".
   void checkNotRunIdempotent() {
     const auto &Attempts = m_Request.m_Attempts;
     if (!Attempts.empty() && std::ranges::all_of(Attempts, reportsNotRun) &&
@@ -183,10 +184,11 @@
         continue;
       for (const Execution &Order : Instance.m_Orders)
         if (Order.m_Start >= Window.m_From && Order.m_Start < Window.m_To)
-          Violations.push_back(
-              {ViolationKind::LateWork,
-               Order.m_RequestId + " ran at " + describe({&Order, &Instance}) +
-                   ", quiet from " + std::to_string(toMicros(Window.m_From))});
+          Violations.push_back({ViolationKind::LateWork,
+                                Order.m_RequestId + " ran at " +
+                                    describe({&Order, &Instance}) +
+                                    ", must start no orders from " +
+                                    std::to_string(toMicros(Window.m_From))});
     }
 }
 
--- a/bench/core/oracle.h
+++ b/bench/core/oracle.h
@@ -1,4 +1,5 @@
-// Compares what callers were told with what targets ran.
+// Checks a run for violations of the guarantees: compares the answers that
+// callers received with the orders that targets ran.
 #pragma once
 
 #include "bench/core/load_plan.h"
@@ -12,21 +13,22 @@
 namespace balsamwheel::bench {
 
 enum class ViolationKind : std::uint8_t {
-  /// A non-idempotent request ran more than once.
+  /// A non-idempotent request was run more than once.
   RanTwice,
-  /// The caller was told "not run", but it ran.
+  /// The answer said that the request was not run, but it was.
   FalseNotRun,
-  /// The caller was told "done", but no target completed it.
+  /// The answer was Done, but no target completed the request.
   FalseDone,
-  /// The body is cut or belongs to another request.
+  /// The body of the answer is truncated or belongs to another request.
   WrongBody,
   /// Two instances ran orders for one key at the same time.
   TwoOwners,
-  /// An order of an older epoch began after one of a newer epoch.
+  /// An order with an older epoch started after one with a newer epoch.
   OldEpoch,
-  /// An order began at an instance some seconds after it was taken out.
+  /// An order started at an instance some seconds after the instance was taken
+  /// out of service.
   LateWork,
-  /// A graceful shutdown cut a request.
+  /// A graceful shutdown broke off a request or an order.
   Cut,
 };
 
@@ -39,7 +41,7 @@
   std::string m_Detail;
 };
 
-/// What one instance ran.
+/// The orders that one instance ran.
 struct InstanceExecutions {
   std::string m_Instance;
   std::string m_Domain;
@@ -47,7 +49,7 @@
   std::vector<Execution> m_Orders;
 };
 
-/// A time in which an instance must not begin orders, or must cut none.
+/// A time in which an instance must not start orders.
 struct NoStartWindow {
   std::string m_Instance;
   TimePoint m_From;
@@ -57,7 +59,7 @@
 /// A daemon's graceful shutdown, from the signal to its exit.
 struct ShutdownWindow {
   std::string m_Instance;
-  /// Index among the entrances of the load.
+  /// Index of the daemon among the entrances of the load plan.
   std::uint32_t m_Entrance = 0;
   TimePoint m_From;
   TimePoint m_To;
@@ -72,7 +74,9 @@
   std::vector<ShutdownWindow> m_Shutdowns;
 };
 
-/// Checks a run. Complexity: linear in requests and orders, but for sorting.
+/// Returns all violations of a run.
+///
+/// Complexity: that of sorting the orders, plus linear in the requests.
 std::vector<Violation> findViolations(const Observations &Observed);
 
 } // namespace balsamwheel::bench
--- a/bench/core/payload.cpp
+++ b/bench/core/payload.cpp
@@ -1,4 +1,5 @@
-// A header line "ID FILLER_LENGTH HASH", then the filler.
+// Layout: a header line "REQUEST_ID FILLER_LENGTH FILLER_HASH", then the
+// filler.
 #include "bench/core/payload.h"
 
 #include "balsamwheel/detail/core/hash.h"
--- a/bench/core/payload.h
+++ b/bench/core/payload.h
@@ -1,5 +1,5 @@
-// Bodies that prove themselves whole: they state the request they answer,
-// their length and a hash.
+// Answer bodies that carry the id of their request, their length and a hash, so
+// that truncated, changed and misrouted bodies are detected.
 #pragma once
 
 #include <cstddef>
@@ -8,10 +8,11 @@
 
 namespace balsamwheel::bench {
 
-/// Builds an answer body for a request of at least \p Size bytes.
+/// Builds the body of an answer to a request, of at least \p Size bytes.
 std::string makePayload(std::string_view RequestId, std::size_t Size);
 
-/// Returns whether a body is the whole answer to a request.
+/// Returns whether a body is complete, unchanged and the answer to this
+/// request.
 bool isIntactPayload(std::string_view Body, std::string_view RequestId);
 
 } // namespace balsamwheel::bench
--- a/bench/core/platform_stand_in.h
+++ b/bench/core/platform_stand_in.h
@@ -1,4 +1,5 @@
-// Stand-in for the platform's table and object store over HTTP, with faults.
+// HTTP stand-in for the platform's table and object store, with fault
+// injection.
 #pragma once
 
 #include "bench/core/delay_queue.h"
@@ -15,16 +16,16 @@
   Ok,
   /// Answers 503 and applies nothing.
   Down,
-  /// Applies after half of the delay and answers after all of it.
+  /// Applies the request after half of the delay and answers after all of it.
   Slow,
-  /// Applies, then closes the connection without an answer.
+  /// Applies the request, then closes the connection without an answer.
   Ambiguous,
 };
 
 struct PlatformFault {
   PlatformMode m_Mode = PlatformMode::Ok;
   Duration m_Delay{0};
-  /// Names of the instances it holds for; empty means all clients.
+  /// Names of the instances that are affected; empty for all clients.
   std::set<std::string> m_Instances;
 };
 
@@ -60,7 +61,7 @@
   PlatformFault m_Fault;
   Counters m_Counters;
   DelayQueue m_Delays;
-  /// Last: its thread uses the members above.
+  /// Declared last, since its thread uses the members above.
   HttpServer m_Server;
 };
 
--- a/bench/core/process.cpp
+++ b/bench/core/process.cpp
@@ -1,4 +1,4 @@
-// fork, exec, signals and /proc.
+// Child processes with fork, exec, signals and /proc.
 #include "bench/core/process.h"
 
 #include "bench/core/clock.h"
@@ -22,6 +22,7 @@
 
 namespace {
 
+/// Range of pickFreePort(), the end excluded.
 constexpr std::uint16_t FirstPort = 20'000;
 constexpr std::uint16_t LastPort = 32'000;
 constexpr int ExecFailedExitCode = 127;
@@ -127,6 +128,7 @@
     return Duration::zero();
   std::istringstream Fields(Text.substr(NameEnd + 1));
   std::string Skipped;
+  // Fields of /proc/PID/stat between the program name and utime.
   constexpr int FieldsBeforeTimes = 11;
   for (int Field = 0; Field < FieldsBeforeTimes; ++Field)
     Fields >> Skipped;
@@ -163,6 +165,7 @@
 
 std::uint16_t pickFreePort() {
   static std::set<std::uint16_t> Returned;
+  // Spreads the first ports of processes that run at the same time.
   static std::uint32_t Next = static_cast<std::uint32_t>(getpid()) * 37U;
   while (true) {
     const auto Port =
--- a/bench/core/process.h
+++ b/bench/core/process.h
@@ -1,4 +1,4 @@
-// Child processes: started by fork and exec, ended and reaped by pid.
+// Child processes, started with fork and exec.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -15,11 +15,12 @@
 struct ProcessOptions {
   /// Program and arguments.
   std::vector<std::string> m_Command;
-  /// Receives standard output and standard error, appended.
+  /// File to which standard output and standard error are appended.
   std::filesystem::path m_Log;
 };
 
-/// A child. It dies with the thread that started it, and with this object.
+/// A child process. It is killed when this object is destroyed, and by the
+/// kernel when the thread that started it ends.
 class ChildProcess {
 public:
   ChildProcess() = default;
@@ -32,32 +33,36 @@
   bool running();
   pid_t pid() const { return m_Pid; }
   void signal(int Signal) const;
-  /// Waits for the end. \returns the wait status, none after the timeout.
+  /// Waits until the child ends. \returns the status as of waitpid(), none
+  /// after the time-out.
   std::optional<int> wait(Duration Timeout);
-  /// Ends it with SIGKILL and reaps it.
+  /// Kills the child with SIGKILL and reaps it.
   void kill();
-  /// Processor time used so far, by user and system.
+  /// Returns the processor time used so far, in user and kernel mode.
   Duration processorTime() const;
-  /// Resident memory, in bytes.
+  /// Returns the resident memory in bytes.
   std::uint64_t residentBytes() const;
 
 private:
-  /// 0 when there is none, or it was reaped.
+  /// 0 without a child or once it is reaped.
   pid_t m_Pid = 0;
   std::optional<int> m_Status;
 };
 
-/// The result of a program that ran to its end.
+/// Exit code and output of a program.
 struct ProgramResult {
+  /// -1 when the program was killed, by a signal or after the time-out.
   int m_ExitCode = -1;
   std::string m_Output;
 };
 
-/// Runs a program to its end; its output goes through \p Log.
+/// Runs a program until it ends or the time-out kills it. Its output is read
+/// back from the log file.
 ProgramResult runProgram(const ProcessOptions &Options, Duration Timeout);
 
-/// Returns a TCP port on 127.0.0.1 that was free at the time, never the same
-/// one twice, outside the range of outgoing connections.
+/// Returns a TCP port of 127.0.0.1 that is free now. Never returns a port twice
+/// in one process. The ports lie outside the range that the system uses for
+/// outgoing connections. Not thread-safe.
 std::uint16_t pickFreePort();
 
 } // namespace balsamwheel::bench
--- a/bench/core/relay.cpp
+++ b/bench/core/relay.cpp
@@ -1,4 +1,4 @@
-// A poll loop over listeners and pairs of sockets.
+// A poll loop over the listening sockets and the socket pairs of connections.
 #include "bench/core/relay.h"
 
 #include <algorithm>
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr int PollMillis = 20;
-constexpr std::size_t ChunkSize = std::size_t{64} * 1024;
+constexpr int PollTimeoutMs = 20;
+constexpr std::size_t ChunkBytes = std::size_t{64} * 1024;
 constexpr int ListenBacklog = 512;
 
 sockaddr_in loopback(std::uint16_t Port) {
@@ -47,8 +47,8 @@
   std::uint16_t m_ServerPort = 0;
 };
 
-/// One direction of a connection. Invariant: m_Pending is sent before more is
-/// read.
+/// One direction of a connection. Invariant: reads only when m_Pending, the
+/// bytes read but not yet sent, is empty.
 struct Direction {
   int m_Source = -1;
   int m_Destination = -1;
@@ -59,13 +59,16 @@
   Direction m_ToServer;
   Direction m_ToClient;
   std::uint16_t m_ServerListenPort = 0;
-  /// Port that the opener says it listens on; 0 until its greeting.
+  /// Relay port of the daemon that opened the connection, from its Hello
+  /// message; 0 until that arrives.
   std::uint16_t m_ClientListenPort = 0;
+  /// Blocked for good.
   bool m_Silent = false;
   bool m_Closed = false;
 };
 
-/// Finds "127.0.0.1:PORT" in a greeting.
+/// Returns the port of the first "127.0.0.1:PORT" in a Hello message; 0 when
+/// there is none.
 std::uint16_t portInHello(const std::string &Bytes) {
   const std::string Host = "127.0.0.1:";
   const std::size_t Found = Bytes.find(Host);
@@ -97,7 +100,7 @@
     if (bind(Socket, reinterpret_cast<const sockaddr *>(&Address),
              sizeof(Address)) != 0 ||
         listen(Socket, ListenBacklog) != 0)
-      throw std::runtime_error("a relay cannot listen");
+      throw std::runtime_error("a relay cannot listen on its port");
     setNonBlocking(Socket);
     m_Listeners.push_back({Socket, ListenPort, ServerPort});
   }
@@ -141,7 +144,7 @@
 
   void pollOnce() {
     std::vector<pollfd> Polled = makePollSet();
-    poll(Polled.data(), Polled.size(), PollMillis);
+    poll(Polled.data(), Polled.size(), PollTimeoutMs);
     const std::lock_guard Lock(m_Mutex);
     for (const Listener &Each : m_Listeners)
       acceptAll(Each);
@@ -205,7 +208,7 @@
   /// Returns false when the connection has ended.
   bool relayOneWay(Connection &Each, Direction &Flow) {
     if (Flow.m_Pending.empty()) {
-      std::array<char, ChunkSize> Chunk{};
+      std::array<char, ChunkBytes> Chunk{};
       const ssize_t Count = read(Flow.m_Source, Chunk.data(), Chunk.size());
       if (Count == 0)
         return false;
@@ -226,7 +229,8 @@
     return true;
   }
 
-  /// Guards the members below, but for m_Listeners once started.
+  /// Guards the members below, except m_Listeners, which is constant once
+  /// started.
   mutable std::mutex m_Mutex;
   std::vector<Listener> m_Listeners;
   std::list<Connection> m_Connections;
--- a/bench/core/relay.h
+++ b/bench/core/relay.h
@@ -1,5 +1,5 @@
-// Relays in front of the daemons' peer ports, which can hold connections
-// back: for good, or until a partition heals.
+// TCP relays in front of the daemons' peer ports, to inject network faults:
+// they can stop relaying a connection for good, or until a partition heals.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace balsamwheel::bench {
 
-/// One thread for all relays. Bytes held back stay in the sockets' buffers, so
-/// that a held connection looks like one whose packets are lost.
+/// Runs all relays on one thread. The bytes of a blocked connection stay in the
+/// socket buffers, so that both ends see a connection whose packets are lost.
 class RelayHub {
 public:
   RelayHub();
@@ -18,17 +18,20 @@
   RelayHub(const RelayHub &) = delete;
   RelayHub &operator=(const RelayHub &) = delete;
 
-  /// Relays connections to \p ListenPort on to \p ServerPort, both on
-  /// 127.0.0.1. Call before start().
+  /// Relays connections from \p ListenPort to \p ServerPort, both on 127.0.0.1.
+  /// Call before start().
+  ///
+  /// \throws std::runtime_error when it can't listen.
   void add(std::uint16_t ListenPort, std::uint16_t ServerPort);
   void start();
 
-  /// Holds back all connections that are open now, for good. New ones work.
+  /// Blocks all connections that are open now, for good. New ones are relayed.
   void silenceOpenConnections();
-  /// Holds back connections between these daemons and all others, named by
-  /// the ports they listen on here.
+  /// Blocks the connections between these daemons and all others.
+  ///
+  /// \param ListenPorts relay ports of the daemons to isolate.
   void isolate(std::set<std::uint16_t> ListenPorts);
-  /// Ends the isolation; held connections go on.
+  /// Ends the isolation. Connections that it blocked are relayed again.
   void heal();
   std::size_t openConnections() const;
 
--- a/bench/core/rig.cpp
+++ b/bench/core/rig.cpp
@@ -1,4 +1,4 @@
-// Actions on a cluster that the oracle has to know about.
+// The actions on a cluster that the oracle must know of.
 #include "bench/core/rig.h"
 
 #include "bench/core/clock.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// New work must have ended this long after a domain was taken out.
+/// No order may start in a domain later than this after it was taken out.
 constexpr Duration NoStartGrace = std::chrono::seconds(3);
 constexpr Duration ShutdownTimeout = std::chrono::seconds(20);
 
--- a/bench/core/rig.h
+++ b/bench/core/rig.h
@@ -1,4 +1,5 @@
-// A running cluster under load, and what an experiment does to it.
+// A running cluster under load, the actions on it and the scenarios made of
+// them.
 #pragma once
 
 #include "bench/core/cluster.h"
@@ -9,15 +10,15 @@
 
 namespace balsamwheel::bench {
 
-/// One run: the cluster, the load, and what the oracle must know of the
-/// actions. Use from one thread only.
+/// One run: the cluster, the load, and the actions that the oracle must know
+/// of. Use from one thread only.
 class Rig {
 public:
   Rig(ClusterOptions Options, LoadPlan Plan);
 
   /// Starts the processes, then the load.
   void start();
-  /// Ends the load and collects what was seen.
+  /// Stops the load, waits for open requests and collects the observations.
   Observations finish();
 
   Cluster &cluster() { return m_Cluster; }
@@ -27,13 +28,15 @@
     return m_Cluster.indexOf(Instance);
   }
 
-  /// Takes a failure domain out; new work there is a violation from 3 s on.
+  /// Takes a failure domain out of service. Orders that start there later than
+  /// 3 s after that are violations.
   void takeDomainOut(const std::string &Domain);
+  /// Takes a failure domain back into service.
   void takeDomainIn(const std::string &Domain);
-  /// Sends SIGTERM to a daemon and waits for its exit; cut requests are
-  /// violations.
+  /// Sends SIGTERM to a daemon and waits until it exits. Requests broken off in
+  /// that time are violations.
   void shutDownDaemon(std::size_t Index);
-  /// Remarks for the report, e.g. an operator's exit code.
+  /// Adds a remark to the report, e.g. the exit code of an operator command.
   void addNote(std::string Text) { m_Notes.push_back(std::move(Text)); }
   const std::vector<std::string> &notes() const { return m_Notes; }
 
@@ -46,34 +49,37 @@
   std::vector<std::string> m_Notes;
 };
 
-/// Something an experiment does at a time after the load began.
+/// An action on the cluster.
 struct TimedAction {
+  /// Time since the start of the load.
   Duration m_At;
   std::string m_Label;
   std::function<void(Rig &)> m_Run;
 };
 
-/// A kind of run.
+/// A kind of run: its load, actions and baseline.
 struct Scenario {
   std::string m_Name;
   std::string m_Help;
   Duration m_Length = std::chrono::seconds(20);
   std::vector<TimedAction> m_Actions;
-  /// Settings of the baseline; empty runs no baseline.
+  /// Policy settings of the baseline; empty for no baseline.
   PolicySettings m_Baseline;
-  /// Multiplies the rates of the deployment's mix.
+  /// Factor on the rates of the deployment's request mix.
   double m_LoadFactor = 1;
-  /// Multiplies the service times of targets.
+  /// Factor on the service times of the targets.
   double m_TimeScale = 1;
+  /// Starts the targets cold.
   bool m_ColdTargets = false;
-  /// Daemons reach each other through relays.
+  /// Connects the daemons to each other through relays.
   bool m_Relays = false;
-  /// Changes the mix; may be empty.
+  /// Changes the load plan; may be empty.
   std::function<void(LoadPlan &)> m_AdjustLoad;
+  /// Deployment when none is asked for.
   std::string m_Deployment = "valpadana";
 };
 
-/// All scenarios but "added-latency", which has its own form.
+/// Returns all scenarios except "added-latency", which doesn't run on a Rig.
 const std::vector<Scenario> &scenarios();
 
 } // namespace balsamwheel::bench
--- a/bench/core/scenarios.cpp
+++ b/bench/core/scenarios.cpp
@@ -1,4 +1,4 @@
-// The scenarios: what is done to a cluster under load, and when.
+// The scenarios: which actions they take on a cluster under load, and when.
 #include "bench/core/rig.h"
 
 #include <algorithm>
@@ -19,11 +19,12 @@
                                    {"picker", "round-robin"},
                                    {"hedge", "false"}};
 
-/// Service times and rates that keep some six slots of a target busy.
+/// Factors on service times and rates that keep about six slots of a target
+/// busy.
 constexpr double HeavyServiceTimeFactor = 30;
 constexpr double HeavyLoadFactor = 1.3;
 
-/// Index of a server of the keyed service with most servers.
+/// Index of a server of the keyed service with the most servers.
 constexpr std::size_t KeyedServerIndex = 1;
 
 TimedAction platformFault(Duration At, const std::string &Label,
@@ -79,7 +80,8 @@
       }};
 }
 
-/// Multiplies the rate of every stream of a service's class.
+/// Sets the rates of all streams, or of the downloads only, to a multiple of
+/// those planned.
 TimedAction scaleRate(Duration At, const std::string &Label, double Factor,
                       bool OnlyDownloads) {
   return {At, Label, [Factor, OnlyDownloads](Rig &TestRig) {
@@ -126,50 +128,53 @@
 std::vector<Scenario> faultScenarios() {
   std::vector<Scenario> Result;
   Result.push_back(makeScenario(
-      "demo", "a server killed, a failure domain out and back", seconds(20),
+      "demo", "one server killed, one failure domain taken out and back in",
+      seconds(20),
       {kill(seconds(4), KeyedServerIndex), domainOut(seconds(9), "c"),
        domainIn(seconds(14), "c")},
       {}));
   Result.push_back(makeScenario(
-      "node-loss", "a server lost by SIGKILL, back later", seconds(20),
+      "node-loss", "a server killed with SIGKILL and started again",
+      seconds(20),
       {kill(seconds(5), KeyedServerIndex),
        restart(seconds(13), KeyedServerIndex)}));
-  Result.push_back(makeScenario("node-pause",
-                                "daemon and target frozen for 6 s", seconds(20),
-                                {suspend(seconds(5), KeyedServerIndex),
-                                 resume(seconds(11), KeyedServerIndex)}));
   Result.push_back(makeScenario(
-      "table-outage", "the table down for 12 s, a server lost in it",
+      "node-pause", "a daemon and its target suspended for 6 s", seconds(20),
+      {suspend(seconds(5), KeyedServerIndex),
+       resume(seconds(11), KeyedServerIndex)}));
+  Result.push_back(makeScenario(
+      "table-outage", "the table down for 12 s, a server killed meanwhile",
       seconds(26),
       {platformFault(seconds(4), "table down", {{"mode", "down"}}),
        kill(seconds(10), KeyedServerIndex),
        platformFault(seconds(16), "table back", {{"mode", "ok"}})}));
   Result.push_back(makeScenario(
-      "table-slow", "table answers after 2 s, then lost answers", seconds(24),
+      "table-slow", "the table answers after 2 s, then its answers are lost",
+      seconds(24),
       {platformFault(seconds(4), "table slow",
                      {{"mode", "slow"}, {"delay_ms", 2000}}),
        platformFault(seconds(11), "answers lost", {{"mode", "ambiguous"}}),
        kill(seconds(13), KeyedServerIndex),
        platformFault(seconds(15), "table back", {{"mode", "ok"}})}));
   Result.push_back(makeScenario(
-      "graceful-shutdown", "SIGTERM to daemons, one after the other",
+      "graceful-shutdown", "SIGTERM to two daemons, one after the other",
       seconds(20),
       {{seconds(5), "SIGTERM to a daemon",
         [](Rig &TestRig) { TestRig.shutDownDaemon(KeyedServerIndex); }},
        {seconds(11), "SIGTERM to a second daemon",
         [](Rig &TestRig) { TestRig.shutDownDaemon(KeyedServerIndex + 2); }}}));
   Result.push_back(makeScenario(
-      "operator-race", "six operators at the same time", seconds(16),
+      "operator-race", "six operator commands at the same time", seconds(16),
       {{seconds(4), "operators race", &raceOperators}}, {}));
   Result.push_back(makeScenario(
-      "domain-out-in", "a failure domain out and back", seconds(24),
+      "domain-out-in", "a failure domain taken out and back in", seconds(24),
       {domainOut(seconds(6), "b"), domainIn(seconds(14), "b")}));
   return Result;
 }
 
 std::vector<Scenario> networkScenarios() {
   Scenario Partition = makeScenario(
-      "partition", "a server, then a failure domain, cut off", seconds(28),
+      "partition", "a server, then a failure domain, partitioned", seconds(28),
       {{seconds(4), "cut a server off from all daemons",
         [](Rig &TestRig) {
           TestRig.cluster().isolate({KeyedServerIndex}, false);
@@ -185,8 +190,8 @@
         [](Rig &TestRig) { TestRig.cluster().healPartition(); }}});
   Partition.m_Relays = true;
   Scenario Silent = makeScenario(
-      "silent-connections", "open connections go silent, new ones work",
-      seconds(20),
+      "silent-connections",
+      "open peer connections stop delivering, new ones work", seconds(20),
       {{seconds(5), "connections go silent",
         [](Rig &TestRig) {
           TestRig.cluster().relays().silenceOpenConnections();
@@ -200,10 +205,11 @@
 
 std::vector<Scenario> loadScenarios() {
   std::vector<Scenario> Result;
-  Result.push_back(makeScenario("steady", "nothing happens", seconds(15), {}));
+  Result.push_back(
+      makeScenario("steady", "constant load, no faults", seconds(15), {}));
 
   Scenario Cold =
-      makeScenario("cold-start", "three targets start again, cold", seconds(24),
+      makeScenario("cold-start", "three targets restart cold", seconds(24),
                    {{seconds(5), "targets start again",
                      [](Rig &TestRig) {
                        for (const std::size_t Index : {0U, 1U, 2U})
@@ -215,7 +221,7 @@
   Result.push_back(std::move(Cold));
 
   Scenario SilentCold = makeScenario(
-      "silent-cold", "two targets turn cold without a sign", seconds(20),
+      "silent-cold", "two targets turn cold without announcing it", seconds(20),
       {targetFault(seconds(5), "targets turn cold", {0, 6}, {{"cold", true}})},
       FixedGate);
   SilentCold.m_TimeScale = HeavyServiceTimeFactor;
@@ -228,24 +234,25 @@
   Overload.m_TimeScale = HeavyServiceTimeFactor;
   Result.push_back(std::move(Overload));
 
-  Scenario Slowed = makeScenario(
-      "slowed-targets", "one of three targets of downloads slowed tenfold",
-      seconds(24),
-      {targetFault(seconds(8), "a target slows down", {13},
-                   {{"slow_factor", 10}}),
-       targetFault(seconds(18), "the target recovers", {13},
-                   {{"slow_factor", 1}})},
-      RoundRobin);
+  Scenario Slowed =
+      makeScenario("slowed-targets",
+                   "one of three download targets slowed tenfold", seconds(24),
+                   {targetFault(seconds(8), "a target slows down", {13},
+                                {{"slow_factor", 10}}),
+                    targetFault(seconds(18), "the target recovers", {13},
+                                {{"slow_factor", 1}})},
+                   RoundRobin);
   Slowed.m_Deployment = "etna-verde";
   Slowed.m_LoadFactor = 2;
   Result.push_back(std::move(Slowed));
 
-  Scenario Straggler = makeScenario(
-      "straggler-keys", "a target with keys slowed tenfold", seconds(24),
-      {targetFault(seconds(8), "a target slows down", {KeyedServerIndex},
-                   {{"slow_factor", 10}}),
-       targetFault(seconds(18), "the target recovers", {KeyedServerIndex},
-                   {{"slow_factor", 1}})});
+  Scenario Straggler =
+      makeScenario("straggler-keys",
+                   "a target of a keyed service slowed tenfold", seconds(24),
+                   {targetFault(seconds(8), "a target slows down",
+                                {KeyedServerIndex}, {{"slow_factor", 10}}),
+                    targetFault(seconds(18), "the target recovers",
+                                {KeyedServerIndex}, {{"slow_factor", 1}})});
   Straggler.m_Deployment = "etna-verde";
   Result.push_back(std::move(Straggler));
 
@@ -263,7 +270,7 @@
   Result.push_back(std::move(Hot));
 
   Scenario Storm = makeScenario(
-      "retry-storm", "a slow target under eager callers", seconds(20),
+      "retry-storm", "slow targets while callers retry", seconds(20),
       {targetFault(seconds(5), "targets slow down", {0, 1, 2, 3, 4, 5},
                    {{"slow_factor", 20}}),
        targetFault(seconds(13), "targets recover", {0, 1, 2, 3, 4, 5},
--- a/bench/core/signals.cpp
+++ b/bench/core/signals.cpp
@@ -1,4 +1,4 @@
-// Blocks and waits on POSIX signals.
+// Blocks the POSIX signals and waits for them with sigwait().
 #include "bench/core/signals.h"
 
 #include <csignal>
--- a/bench/core/signals.h
+++ b/bench/core/signals.h
@@ -1,13 +1,14 @@
-// Waiting for SIGTERM and SIGINT.
+// Waits for SIGTERM or SIGINT.
 #pragma once
 
 namespace balsamwheel::bench {
 
-/// Blocks both signals for this thread and those it starts later. Make one
-/// before any thread.
+/// The constructor blocks both signals for the calling thread and the threads
+/// that it starts later. Construct it before starting any thread.
 class SignalWaiter {
 public:
   SignalWaiter();
+  /// Blocks until one of the signals arrives.
   void waitForEnd() const;
 };
 
--- a/bench/core/table_store.cpp
+++ b/bench/core/table_store.cpp
@@ -1,4 +1,4 @@
-// Conditional transactions over a map.
+// Conditional transactions on a map of rows.
 #include "bench/core/table_store.h"
 
 namespace balsamwheel::bench {
--- a/bench/core/target_model.cpp
+++ b/bench/core/target_model.cpp
@@ -1,4 +1,4 @@
-// Slots, inner queue, cold start and collapse of the target stand-in.
+// Slots, internal queue, cold start and collapse of the target stand-in.
 #include "bench/core/target_model.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// How often a target that warms up looks for a further working slot.
+/// Interval at which a target that warms up checks for further usable slots.
 constexpr Duration WarmUpTick = std::chrono::milliseconds(5);
 
 } // namespace
@@ -24,6 +24,7 @@
   const double WarmFraction = std::clamp(Age / WarmUp, 0.0, 1.0);
   const double Share =
       m_Options.m_ColdShare + (1 - m_Options.m_ColdShare) * WarmFraction;
+  // 1e-9 makes up for rounding errors just below a whole number of slots.
   return std::max(1U, static_cast<std::uint32_t>(
                           std::floor(m_Options.m_Slots * Share + 1e-9)));
 }
--- a/bench/core/target_model.h
+++ b/bench/core/target_model.h
@@ -1,5 +1,5 @@
-// The behaviour of the target stand-in as a pure state machine: slots, an
-// inner queue, a cold start, collapse under lasting overload, fences.
+// The behaviour of the target stand-in as a state machine without I/O: slots,
+// an internal queue, cold starts, collapse under sustained overload, fences.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -17,23 +17,28 @@
 namespace balsamwheel::bench {
 
 struct TargetModelOptions {
+  /// Orders that run at the same time when the target is warm.
   std::uint32_t m_Slots = 10;
-  /// Share of the slots that work right after a cold start.
+  /// Share of the slots that are usable right after a cold start.
   double m_ColdShare = 0.2;
+  /// Time from a cold start until all slots are usable; their number grows
+  /// linearly.
   Duration m_WarmUp = std::chrono::seconds(10);
-  /// A target that is not warm collapses after this long with more than
-  /// m_CollapseFactor times the orders that it has working slots.
+  /// A target that is not warm collapses when, for this long, it holds more
+  /// than m_CollapseFactor orders, running or waiting, per usable slot.
   Duration m_CollapseAfter = std::chrono::seconds(1);
   double m_CollapseFactor = 2.0;
-  /// Time without any answer after a collapse.
+  /// Time after a collapse in which every order is lost.
   Duration m_RestartTime = std::chrono::seconds(2);
-  /// Orders inside at which further ones are shed.
+  /// Number of orders, running and waiting, from which on further ones are
+  /// shed.
   std::uint32_t m_MaxOrders = 130;
+  /// Refuses orders whose epoch is older than the highest seen of their shard.
   bool m_ChecksFences = false;
   bool m_StartsCold = false;
 };
 
-/// An order as it arrived.
+/// An order as it arrives at the target.
 struct TargetOrder {
   std::string m_RequestId;
   std::string m_Service;
@@ -41,25 +46,26 @@
   std::string m_Shard;
   Epoch m_Epoch;
   Duration m_ServiceTime{0};
-  /// Time allowed since the arrival; 0 for no limit.
+  /// Time from the arrival to the deadline; 0 for no deadline.
   Duration m_TimeLeft{0};
 };
 
 enum class TargetEnd : std::uint8_t {
   Done,
-  /// Refused before it ran.
+  /// Refused before it ran, because the target holds too many orders.
   Shed,
-  /// Refused before it ran: the epoch is older than one seen.
+  /// Refused before it ran, because its epoch is older than one seen.
   Fenced,
-  /// Withdrawn before it ran.
+  /// Cancelled, or past its deadline, before it ran.
   Withdrawn,
-  /// Ended while it ran, by a cancellation, its deadline or a collapse.
+  /// Ended while it ran, by a cancellation, its deadline, a collapse or a
+  /// restart.
   Aborted,
-  /// Lost before it ran, in a collapse.
+  /// Lost before it ran, by a collapse or a restart.
   Lost,
 };
 
-/// One order that began to run.
+/// One order that started to run.
 struct Execution {
   std::string m_RequestId;
   std::string m_Service;
@@ -67,48 +73,58 @@
   std::string m_Shard;
   Epoch m_Epoch;
   TimePoint m_Start;
-  /// Unset while it runs.
+  /// None while it runs.
   std::optional<TimePoint> m_End;
   bool m_Completed = false;
 };
 
+/// The end of an order.
 struct TargetEvent {
   std::uint64_t m_Ticket = 0;
   TargetEnd m_End = TargetEnd::Done;
-  /// The order, when it ran.
+  /// None when the order did not run.
   std::optional<Execution> m_Execution;
 };
 
-/// Not thread-safe. Invariant: the orders that run at any time are at most
-/// the working slots at the time the last one began.
+/// Not thread-safe. Invariant: the number of running orders never exceeds the
+/// number of usable slots when the latest of them started.
 class TargetModel {
 public:
   TargetModel(TargetModelOptions Options, TimePoint Now);
 
-  /// Takes an order in; what follows is reported by advance().
+  /// Accepts or refuses an order; advance() reports how it ended.
+  ///
+  /// \param Ticket number of the order, unique in this model.
   void arrive(std::uint64_t Ticket, TargetOrder Order, TimePoint Now);
-  /// Ends an order early; false when there is none of that request.
+  /// Cancels the order of a request, whether it runs or waits. \returns false
+  /// when there is none.
   bool cancel(const std::string &RequestId, TimePoint Now);
-  /// Records the epoch of a grant.
+  /// Records the epoch of a grant, for the fences.
   void grant(const std::string &Service, const std::string &Shard,
              Epoch Current);
-  /// Moves to \p Now. \returns what ended.
+  /// Advances the model to \p Now. \returns the orders that ended since the
+  /// last call.
   std::vector<TargetEvent> advance(TimePoint Now);
-  /// Orders that began since the last call.
+  /// Returns the orders that started since the last call, with their tickets.
   std::vector<std::pair<std::uint64_t, Execution>> takeStarted();
 
+  /// Starts a new warm-up; orders stay.
   void becomeCold(TimePoint Now);
+  /// Drops all orders and epochs and starts a new warm-up.
   void restart(TimePoint Now);
-  /// Service times are multiplied by this from now on.
+  /// Sets the factor on the service times of orders that start from now on.
   void setSlowFactor(double Factor) { m_SlowFactor = Factor; }
 
-  /// When advance() has something to do; the far future when nothing runs.
+  /// Returns the time of the next call of advance(); TimePoint::max() when
+  /// nothing runs or waits.
   TimePoint nextWake(TimePoint Now) const;
+  /// Returns running and waiting orders per slot.
   double load() const;
-  /// Slots that work at this time.
+  /// Returns the slots that are usable at this time.
   std::uint32_t workingSlots(TimePoint Now) const;
   bool restarting(TimePoint Now) const { return Now < m_DownUntil; }
   std::uint64_t collapses() const { return m_Collapses; }
+  /// Returns the largest number of orders, running and waiting, so far.
   std::uint32_t peakOrders() const { return m_PeakOrders; }
 
 private:
@@ -136,7 +152,7 @@
   TargetModelOptions m_Options;
   std::map<std::uint64_t, Running> m_Running;
   std::deque<Waiting> m_Waiting;
-  /// Highest epoch seen of each service and shard.
+  /// Highest epoch seen, by service and shard.
   std::map<std::pair<std::string, std::string>, Epoch> m_Epochs;
   std::vector<TargetEvent> m_Events;
   std::vector<std::pair<std::uint64_t, Execution>> m_Started;
--- a/bench/core/target_stand_in.cpp
+++ b/bench/core/target_stand_in.cpp
@@ -13,12 +13,13 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration IdlePeriod = std::chrono::milliseconds(100);
-constexpr Duration LoadPeriod = std::chrono::milliseconds(200);
+constexpr Duration MaxModelWait = std::chrono::milliseconds(100);
+constexpr Duration LoadSamplePeriod = std::chrono::milliseconds(200);
 constexpr Duration AnnouncePeriod = std::chrono::seconds(1);
 constexpr char OrderPath[] = "/v1/orders/";
 
-/// Service time and answer size of the paths that contain a part.
+/// Service time and size of the answer body, in bytes, for the paths that
+/// contain m_PathPart. The first match counts.
 struct PathProfile {
   std::string_view m_PathPart;
   Duration m_MinServiceTime;
@@ -27,11 +28,11 @@
 };
 
 using std::chrono::milliseconds;
-constexpr std::size_t DownloadSize = std::size_t{256} * 1024;
+constexpr std::size_t DownloadBytes = std::size_t{256} * 1024;
 constexpr std::array<PathProfile, 4> Profiles{{
     {"/internal", milliseconds(1), milliseconds(2), 200},
-    {"/calendars", milliseconds(10), milliseconds(20), DownloadSize},
-    {"/documents", milliseconds(10), milliseconds(20), DownloadSize},
+    {"/calendars", milliseconds(10), milliseconds(20), DownloadBytes},
+    {"/documents", milliseconds(10), milliseconds(20), DownloadBytes},
     {"", milliseconds(2), milliseconds(5), 400},
 }};
 
@@ -135,7 +136,7 @@
     return Answer->answer(setFaults(Request.m_Body));
   if (Request.m_Path == "/v1/executions")
     return Answer->answer(executions());
-  Answer->answer(jsonAnswer(404, {{"error", "no such endpoint"}}));
+  Answer->answer(jsonAnswer(404, {{"error", "unknown endpoint"}}));
 }
 
 Duration TargetStandIn::drawServiceTime(const ServerRequest &Request) {
@@ -197,7 +198,7 @@
 ServerAnswer TargetStandIn::setFaults(const std::string &Body) {
   const Json Value = Json::parse(Body, nullptr, false);
   if (!Value.is_object())
-    return jsonAnswer(400, {{"error", "body is no JSON object"}});
+    return jsonAnswer(400, {{"error", "the body is not a JSON object"}});
   const std::lock_guard Lock(m_Mutex);
   const TimePoint Now = now();
   if (Value.contains("slow_factor"))
@@ -281,11 +282,12 @@
     const TimePoint Now = now();
     if (!m_Frozen)
       advanceModel(Now);
-    if (m_LoadHistory.empty() || Now - m_LoadHistory.back().first > LoadPeriod)
+    if (m_LoadHistory.empty() ||
+        Now - m_LoadHistory.back().first > LoadSamplePeriod)
       m_LoadHistory.emplace_back(Now, m_Model.load());
     while (Now - m_LoadHistory.front().first > 2 * m_Options.m_LoadReportDelay)
       m_LoadHistory.pop_front();
-    m_WakeAt = Now + IdlePeriod;
+    m_WakeAt = Now + MaxModelWait;
     if (!m_Frozen)
       m_WakeAt = std::min(m_WakeAt, m_Model.nextWake(Now));
     m_Changed.wait_for(Lock, std::max(Duration::zero(), m_WakeAt - now()));
--- a/bench/core/target_stand_in.h
+++ b/bench/core/target_stand_in.h
@@ -1,4 +1,5 @@
-// Stand-in for a target: the model behind HTTP, announcing itself.
+// Stand-in for a target: serves TargetModel over HTTP and announces itself to a
+// daemon.
 #pragma once
 
 #include "bench/core/http_server.h"
@@ -14,19 +15,19 @@
 
 struct TargetStandInOptions {
   HttpServerOptions m_Http;
-  /// Port for faults and executions, apart from the limited connections of
-  /// the target itself; 0 for any.
+  /// Port for faults and executions, separate so that they don't compete for
+  /// the limited connections of the target; 0 for any free port.
   std::uint16_t m_ControlPort = 0;
   TargetModelOptions m_Model;
   std::string m_Service;
-  /// "host:port" where its daemon takes announcements; empty for none.
+  /// "host:port" where the daemon receives announcements; empty for none.
   std::string m_Daemon;
   std::uint64_t m_Seed = 1;
-  /// Multiplies the service times of every order.
+  /// Factor on the service times of all orders.
   double m_TimeScale = 1;
-  /// File that records what ran; empty for none.
+  /// Path of the journal file; empty for no journal.
   std::string m_Journal;
-  /// How late the load endpoint is.
+  /// Age of the load value that the load endpoint reports.
   Duration m_LoadReportDelay = std::chrono::seconds(3);
 };
 
@@ -36,7 +37,8 @@
   ~TargetStandIn();
 
   std::uint16_t port() const { return m_Server->port(); }
-  /// Stops new announcements and tells the daemon that it leaves.
+  /// Stops the periodic announcements and announces to the daemon that this
+  /// target leaves.
   void leave();
 
 private:
@@ -72,9 +74,9 @@
   std::uint64_t m_NextTicket = 1;
   std::map<std::uint64_t, Execution> m_Executions;
   Journal m_Journal;
-  /// Loads by time, for reports that come late.
+  /// Recent load values by time, for the delayed load reports.
   std::deque<std::pair<TimePoint, double>> m_LoadHistory;
-  /// When the model's thread wakes.
+  /// Time at which the model thread wakes up.
   TimePoint m_WakeAt;
   bool m_Frozen = false;
   bool m_Announces = true;
--- a/tests/unit-oracle.cpp
+++ b/tests/unit-oracle.cpp
@@ -1,4 +1,5 @@
-// The oracle accepts a correct run and finds each kind of fault.
+// Tests of the oracle: it accepts a correct run and reports each kind of
+// violation.
 #include "bench/core/oracle.h"
 
 #include <doctest/doctest.h>
@@ -72,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("a correct run has no violation") {
+TEST_CASE("the oracle reports no violation for a correct run") {
   TestRun Correct;
   Correct.addRequest("r1", {makeAttempt(0, 10, Answer::Done)});
   Correct.addOrder(0, makeExecution("r1", 2, 8));
@@ -82,7 +83,7 @@
   CHECK(Correct.violationKinds().empty());
 }
 
-TEST_CASE("a non-idempotent request that ran twice is found") {
+TEST_CASE("the oracle reports a non-idempotent request that ran twice") {
   TestRun Faulty;
   Faulty.addRequest("r", {makeAttempt(0, 40, Answer::Done)});
   Faulty.addOrder(0, makeExecution("r", 2, 8));
@@ -92,21 +93,21 @@
   CHECK(Faulty.violationKinds().empty());
 }
 
-TEST_CASE("a false not run is found") {
-  SUBCASE("run before the refusal of a later attempt") {
+TEST_CASE("the oracle reports a request that ran despite the answer not run") {
+  SUBCASE("it ran before a later attempt was answered not run") {
     TestRun Faulty;
     Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Broken),
                             makeAttempt(20, 30, Answer::NotRun)});
     Faulty.addOrder(0, makeExecution("r", 2, 8));
     CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseNotRun});
   }
-  SUBCASE("run after the last refusal") {
+  SUBCASE("it ran after the last attempt was answered wait") {
     TestRun Faulty;
     Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Wait)});
     Faulty.addOrder(0, makeExecution("r", 50, 60));
     CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseNotRun});
   }
-  SUBCASE("idempotent and every attempt refused") {
+  SUBCASE("it is idempotent and every attempt was answered not run") {
     TestRun Faulty;
     Faulty.addRequest("r", {makeAttempt(0, 10, Answer::NotRun)}, 1);
     Faulty.addOrder(0, makeExecution("r", 2, 8));
@@ -114,7 +115,7 @@
   }
 }
 
-TEST_CASE("an answer without a completed order is found") {
+TEST_CASE("the oracle reports an answer done without a completed order") {
   TestRun Faulty;
   Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Done)});
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseDone});
@@ -122,7 +123,7 @@
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseDone});
 }
 
-TEST_CASE("a wrong body is found") {
+TEST_CASE("the oracle reports a wrong body") {
   TestRun Faulty;
   Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Done)});
   Faulty.m_Observed.m_Requests[0].m_Attempts[0].m_BodyIntact = false;
@@ -130,14 +131,17 @@
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::WrongBody});
 }
 
-TEST_CASE("two owners at one time are found") {
+TEST_CASE(
+    "the oracle reports orders of one key that overlap at two instances") {
   TestRun Faulty;
   Faulty.addOrder(0, makeExecution("r1", 0, 20, 1));
   Faulty.addOrder(1, makeExecution("r2", 10, 15, 2));
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::TwoOwners});
 }
 
-TEST_CASE("an overlap is found behind a later short order") {
+TEST_CASE(
+    "the oracle reports an overlap with a long order that started before a "
+    "shorter one") {
   TestRun Faulty;
   Faulty.addOrder(0, makeExecution("long", 0, 50, 1));
   Faulty.addOrder(0, makeExecution("short", 10, 15, 1));
@@ -145,14 +149,14 @@
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::TwoOwners});
 }
 
-TEST_CASE("an old epoch after a newer one is found") {
+TEST_CASE("the oracle reports an order with an old epoch after a newer one") {
   TestRun Faulty;
   Faulty.addOrder(1, makeExecution("r2", 0, 5, 2));
   Faulty.addOrder(0, makeExecution("r1", 10, 20, 1));
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::OldEpoch});
 }
 
-TEST_CASE("new work at an instance taken out is found") {
+TEST_CASE("the oracle reports an order that starts at an instance taken out") {
   TestRun Faulty;
   Faulty.addOrder(0, makeExecution("r", 100, 110));
   Faulty.m_Observed.m_NoStartWindows = {{"one", at(50), at(100)}};
@@ -161,7 +165,7 @@
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::LateWork});
 }
 
-TEST_CASE("a request cut by a graceful shutdown is found") {
+TEST_CASE("the oracle reports a request broken off by a graceful shutdown") {
   TestRun Faulty;
   Faulty.addRequest("r", {makeAttempt(0, 60, Answer::Broken)});
   Faulty.m_Observed.m_Shutdowns = {{"one", 1, at(50), at(100)}};
--- a/tests/unit-stand-ins.cpp
+++ b/tests/unit-stand-ins.cpp
@@ -1,4 +1,4 @@
-// The stand-ins for platform and targets.
+// Tests of the stand-ins for the platform and for targets.
 #include "bench/core/payload.h"
 #include "bench/core/table_store.h"
 #include "bench/core/target_model.h"
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a failed condition leaves every row as it was") {
+TEST_CASE("a transaction with a failed condition changes no row") {
   TableStore Table;
   CHECK(Table.commit(makeWrite("a", 0, "1")).m_Status == TableStatus::Ok);
   Transaction Both = makeWrite("a", 1, "2");
@@ -49,7 +49,8 @@
   CHECK(Rows[1].m_Version == RowVersion(0));
 }
 
-TEST_CASE("versions grow over a deletion") {
+TEST_CASE(
+    "the version of a row keeps growing when it is deleted and rewritten") {
   TableStore Table;
   Table.commit(makeWrite("a", 0, "1"));
   Table.commit(makeWrite("a", 1, std::nullopt));
@@ -60,7 +61,7 @@
 }
 
 TEST_CASE("a target runs no more orders than it has slots") {
-  rc::check("running orders stay within the slots", [] {
+  rc::check("at most as many orders end in one step as there are slots", [] {
     const auto Count = *rc::gen::inRange(1, 60);
     TargetModel Model({.m_Slots = 4}, Start);
     for (int Index = 0; Index < Count; ++Index)
@@ -75,7 +76,7 @@
   });
 }
 
-TEST_CASE("a cold target pushed too far collapses and restarts cold") {
+TEST_CASE("an overloaded cold target collapses and restarts cold") {
   TargetModel Model({.m_StartsCold = true}, Start);
   CHECK(Model.workingSlots(Start) == 2);
   for (int Index = 0; Index < 5; ++Index) {
@@ -92,7 +93,9 @@
   CHECK(Model.workingSlots(CollapseTime + seconds(12)) == 10);
 }
 
-TEST_CASE("a cold target within its working slots does not collapse") {
+TEST_CASE(
+    "a cold target with at most twice as many orders as usable slots does "
+    "not collapse") {
   TargetModel Model({.m_StartsCold = true}, Start);
   for (int Index = 0; Index < 4; ++Index) {
     TargetOrder Order = makeOrder(std::to_string(Index));
@@ -116,7 +119,7 @@
   }
 }
 
-TEST_CASE("a cancelled order is withdrawn while it waits, aborted later") {
+TEST_CASE("cancelling withdraws a waiting order and aborts a running one") {
   TargetModel Model({.m_Slots = 1}, Start);
   Model.arrive(1, makeOrder("runs"), Start);
   Model.arrive(2, makeOrder("waits"), Start);
@@ -130,7 +133,7 @@
   CHECK_FALSE(Events[1].m_Execution->m_Completed);
 }
 
-TEST_CASE("a target that was frozen past a deadline drops the order") {
+TEST_CASE("a target that was suspended past a deadline ends its orders") {
   TargetModel Model({.m_Slots = 1}, Start);
   TargetOrder Order = makeOrder("runs");
   Order.m_TimeLeft = milliseconds(30);
@@ -144,8 +147,8 @@
   CHECK(Events[1].m_End == TargetEnd::Withdrawn);
 }
 
-TEST_CASE("a payload proves itself whole and its own") {
-  rc::check("cut, changed or foreign bodies are noticed", [] {
+TEST_CASE("only the intact payload of the same request is accepted") {
+  rc::check("truncated, changed and foreign bodies are rejected", [] {
     const auto Size = *rc::gen::inRange<std::size_t>(1, 3000);
     const std::string Body = makePayload("r-1", Size);
     RC_ASSERT(isIntactPayload(Body, "r-1"));
