--- a/bench/core/delay_queue.cpp
+++ b/bench/core/delay_queue.cpp
@@ -31,9 +31,9 @@
       m_Changed.wait(Lock);
       continue;
     }
-    const Duration Left = m_Tasks.begin()->first - now();
-    if (Left > Duration::zero()) {
-      m_Changed.wait_for(Lock, Left);
+    const Duration Remaining = m_Tasks.begin()->first - now();
+    if (Remaining > Duration::zero()) {
+      m_Changed.wait_for(Lock, Remaining);
       continue;
     }
     const std::function<void()> Task = std::move(m_Tasks.begin()->second);
--- a/bench/core/load_plan.h
+++ b/bench/core/load_plan.h
@@ -44,7 +44,8 @@
   /// which the caller sends it again.
   std::uint32_t m_UnknownRetries = 2;
   /// Share of the requests with a known owner whose first attempt goes to its
-  /// entrance. The others, and all retries, go to a random one.
+  /// entrance. The others, and all retries, go to a random one
+  /// that is not backed off from.
   double m_HintShare = 0.7;
   /// The entrances are targets, and an answer with status 200 counts as done.
   bool m_Direct = false;
--- a/bench/core/relay.cpp
+++ b/bench/core/relay.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t ChunkBytes = std::size_t{64} * 1024;
 constexpr int ListenBacklog = 512;
 
-sockaddr_in loopback(std::uint16_t Port) {
+sockaddr_in loopbackSocketAddress(std::uint16_t Port) {
   sockaddr_in Address{};
   Address.sin_family = AF_INET;
   Address.sin_port = htons(Port);
@@ -35,7 +35,8 @@
 
 int openSocket() { return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0); }
 
-void setNonBlocking(int Socket) {
+/// Makes a socket non-blocking and switches off Nagle's algorithm.
+void configureSocket(int Socket) {
   const int On = 1;
   setsockopt(Socket, IPPROTO_TCP, TCP_NODELAY, &On, sizeof(On));
   fcntl(Socket, F_SETFL, fcntl(Socket, F_GETFL) | O_NONBLOCK);
@@ -58,6 +59,7 @@
 struct Connection {
   Direction m_ToServer;
   Direction m_ToClient;
+  /// Relay port of the daemon that accepted the connection.
   std::uint16_t m_ServerListenPort = 0;
   /// Relay port of the daemon that opened the connection, from its Hello
   /// message; 0 until that arrives.
@@ -96,12 +98,12 @@
     const int Socket = openSocket();
     const int On = 1;
     setsockopt(Socket, SOL_SOCKET, SO_REUSEADDR, &On, sizeof(On));
-    const sockaddr_in Address = loopback(ListenPort);
+    const sockaddr_in Address = loopbackSocketAddress(ListenPort);
     if (bind(Socket, reinterpret_cast<const sockaddr *>(&Address),
              sizeof(Address)) != 0 ||
         listen(Socket, ListenBacklog) != 0)
       throw std::runtime_error("a relay cannot listen on its port");
-    setNonBlocking(Socket);
+    configureSocket(Socket);
     m_Listeners.push_back({Socket, ListenPort, ServerPort});
   }
 
@@ -182,15 +184,15 @@
       if (Client < 0)
         return;
       const int Server = openSocket();
-      const sockaddr_in Address = loopback(From.m_ServerPort);
+      const sockaddr_in Address = loopbackSocketAddress(From.m_ServerPort);
       if (connect(Server, reinterpret_cast<const sockaddr *>(&Address),
                   sizeof(Address)) != 0) {
         close(Client);
         close(Server);
         continue;
       }
-      setNonBlocking(Client);
-      setNonBlocking(Server);
+      configureSocket(Client);
+      configureSocket(Server);
       Connection Opened;
       Opened.m_ToServer = {Client, Server, {}};
       Opened.m_ToClient = {Server, Client, {}};
--- a/bench/core/rig.h
+++ b/bench/core/rig.h
@@ -53,6 +53,7 @@
 struct TimedAction {
   /// Time since the start of the load.
   Duration m_At;
+  /// Printed as progress, and part of the name of a window in the report.
   std::string m_Label;
   std::function<void(Rig &)> m_Run;
 };
--- a/tests/unit-oracle.cpp
+++ b/tests/unit-oracle.cpp
@@ -93,7 +93,7 @@
   CHECK(Faulty.violationKinds().empty());
 }
 
-TEST_CASE("the oracle reports a request that ran despite the answer not run") {
+TEST_CASE("the oracle reports a request that ran but was answered not run") {
   SUBCASE("it ran before a later attempt was answered not run") {
     TestRun Faulty;
     Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Broken),
@@ -115,7 +115,8 @@
   }
 }
 
-TEST_CASE("the oracle reports an answer done without a completed order") {
+TEST_CASE(
+    "the oracle reports a request answered done without a completed order") {
   TestRun Faulty;
   Faulty.addRequest("r", {makeAttempt(0, 10, Answer::Done)});
   CHECK(Faulty.violationKinds() == Kinds{ViolationKind::FalseDone});
