--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -60,15 +60,15 @@
   std::uint64_t m_LastVersion = 0;
 };
 
-struct Participant {
+struct Process {
   PeerAddress m_Address;
   Coordinator m_Coordinator;
 };
 
 /// Carries out the effects of all participants and lets time pass.
-class Loop {
+class Simulation {
 public:
-  explicit Loop(MemoryTable &Table) : m_Table(Table) {}
+  explicit Simulation(MemoryTable &Table) : m_Table(Table) {}
 
   void add(const std::string &Name, std::uint64_t Seed) {
     const PeerAddress Address(Name + ":1");
@@ -77,39 +77,39 @@
                                .m_Region = RegionName("here"),
                                .m_Peer = Address,
                                .m_CallerAddress = Name + ":80"};
-    m_Participants.push_back({Address, Coordinator(std::move(Options), Seed)});
-    m_Participants.back().m_Coordinator.start(m_Now);
-    m_Participants.back().m_Coordinator.onTargetReady(ServiceName("orders"), 10,
-                                                      m_Now);
+    m_Processes.push_back({Address, Coordinator(std::move(Options), Seed)});
+    m_Processes.back().m_Coordinator.start(m_Now);
+    m_Processes.back().m_Coordinator.onTargetReady(ServiceName("orders"), 10,
+                                                   m_Now);
   }
 
   void run(Duration Length) {
     constexpr Duration Step = std::chrono::milliseconds(5);
     for (const TimePoint End = m_Now + Length; m_Now < End; m_Now += Step)
-      for (Participant &Each : m_Participants) {
+      for (Process &Each : m_Processes) {
         Each.m_Coordinator.onTick(m_Now);
-        carryOut(Each);
+        execute(Each);
       }
   }
 
-  std::vector<Participant> m_Participants;
+  std::vector<Process> m_Processes;
 
 private:
-  void carryOut(Participant &Each) {
-    for (const Effect &Wanted : Each.m_Coordinator.takeEffects()) {
-      if (const auto *Read = std::get_if<ReadTable>(&Wanted))
+  void execute(Process &Each) {
+    for (const Effect &Item : Each.m_Coordinator.takeEffects()) {
+      if (const auto *Read = std::get_if<ReadTable>(&Item))
         Each.m_Coordinator.onTableReply(Read->m_Ticket,
                                         m_Table.read(Read->m_Read), m_Now);
-      else if (const auto *Commit = std::get_if<CommitTable>(&Wanted))
+      else if (const auto *Commit = std::get_if<CommitTable>(&Item))
         Each.m_Coordinator.onTableReply(
             Commit->m_Ticket, m_Table.commit(Commit->m_Transaction), m_Now);
-      else if (const auto *Send = std::get_if<SendControl>(&Wanted))
+      else if (const auto *Send = std::get_if<SendControl>(&Item))
         deliver(Each, *Send);
     }
   }
 
-  void deliver(const Participant &From, const SendControl &Send) {
-    for (Participant &Each : m_Participants)
+  void deliver(const Process &From, const SendControl &Send) {
+    for (Process &Each : m_Processes)
       if (Each.m_Address == Send.m_To)
         Each.m_Coordinator.onMessage(Send.m_Message, From.m_Address, m_Now);
   }
@@ -139,14 +139,14 @@
 int main() {
   MemoryTable Table;
   commitFirstConfig(Table);
-  Loop Subject(Table);
-  Subject.add("a", 1);
-  Subject.add("b", 2);
-  Subject.add("c", 3);
-  Subject.run(std::chrono::seconds(10));
+  Simulation Cluster(Table);
+  Cluster.add("a", 1);
+  Cluster.add("b", 2);
+  Cluster.add("c", 3);
+  Cluster.run(std::chrono::seconds(10));
 
   std::size_t Owned = 0;
-  for (const Participant &Each : Subject.m_Participants) {
+  for (const Process &Each : Cluster.m_Processes) {
     const auto Status =
         Each.m_Coordinator.status(TimePoint(std::chrono::seconds(11)));
     std::cout << Each.m_Address.value() << " owns " << Status.m_ShardsOwned
--- a/include/balsamwheel/detail/manifest/yaml_fields.h
+++ b/include/balsamwheel/detail/manifest/yaml_fields.h
@@ -31,8 +31,8 @@
 
 /// Smallest and largest value of a number, both allowed.
 struct Range {
-  std::uint64_t m_Least = 0;
-  std::uint64_t m_Most = UINT64_MAX;
+  std::uint64_t m_Min = 0;
+  std::uint64_t m_Max = UINT64_MAX;
 };
 
 /// One mapping of a document. Fields that are present but never asked for are
@@ -49,8 +49,8 @@
   std::optional<std::uint64_t> number(const std::string &Key, Range Allowed);
   std::optional<bool> flag(const std::string &Key);
   /// Reads a duration such as "250ms", "2s" or "1m".
-  std::optional<Duration> duration(const std::string &Key, Duration Least,
-                                   Duration Most);
+  std::optional<Duration> duration(const std::string &Key, Duration Min,
+                                   Duration Max);
   /// Reads a list of texts; empty when absent.
   std::vector<std::string> texts(const std::string &Key);
   /// Reads one of \p Names and returns its index.
@@ -72,7 +72,7 @@
   YAML::Node m_Node;
   std::string m_Path;
   ProblemLog *m_Log;
-  std::set<std::string> m_Asked;
+  std::set<std::string> m_ReadKeys;
 };
 
 /// Parses a duration such as "250ms"; none when it has another shape.
--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds AnswerLimit{500};
+constexpr std::chrono::milliseconds AnswerTimeout{500};
 constexpr std::uint16_t HttpOk = 200;
 
 } // namespace
@@ -17,13 +17,13 @@
 std::optional<nlohmann::json> AdminClient::get(const std::string &Address,
                                                const std::string &Path) {
   std::promise<http_client::TransferResult> Answer;
-  http_client::Transfer Question;
-  Question.m_Url = "http://" + Address + Path;
-  Question.m_Deadline = runtime::bootNow() + AnswerLimit;
-  Question.m_OnEnd = [&Answer](http_client::TransferResult Result) {
+  http_client::Transfer Query;
+  Query.m_Url = "http://" + Address + Path;
+  Query.m_Deadline = runtime::bootNow() + AnswerTimeout;
+  Query.m_OnEnd = [&Answer](http_client::TransferResult Result) {
     Answer.set_value(std::move(Result));
   };
-  m_Loop.submit(std::move(Question));
+  m_Loop.submit(std::move(Query));
   const http_client::TransferResult Result = Answer.get_future().get();
   if (Result.m_End != http_client::TransferEnd::Answered ||
       Result.m_Answer.m_Status != HttpOk)
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -29,7 +29,7 @@
   return Result;
 }
 
-const char *mark(ChangeKind Kind) {
+const char *changeSign(ChangeKind Kind) {
   switch (Kind) {
   case ChangeKind::Added:
     return "+";
@@ -42,7 +42,8 @@
 }
 
 std::string describe(const ManifestChange &Change) {
-  std::string Result = std::string(mark(Change.m_Kind)) + " " + Change.m_Path;
+  std::string Result =
+      std::string(changeSign(Change.m_Kind)) + " " + Change.m_Path;
   if (!Change.m_Before.empty())
     Result += " " + Change.m_Before;
   if (Change.m_Kind == ChangeKind::Changed)
@@ -52,14 +53,14 @@
   return Result;
 }
 
-std::string joined(const std::vector<std::string> &Lines) {
+std::string joinLines(const std::vector<std::string> &Lines) {
   std::string Result;
   for (const std::string &Line : Lines)
     Result += (Result.empty() ? "" : "\n") + Line;
   return Result;
 }
 
-std::string names(const std::vector<InstanceName> &Instances) {
+std::string joinNames(const std::vector<InstanceName> &Instances) {
   std::string Result;
   for (const InstanceName &Name : Instances)
     Result += (Result.empty() ? "" : ", ") + Name.value();
@@ -78,20 +79,21 @@
   Result.m_Text = What + ": committed as version " + std::to_string(Version);
   if (Common.m_InForceLimit.count() == 0)
     return Result;
-  const auto Late = waitInForce(Table, Next.m_Version, Common.m_InForceLimit);
-  if (Late.empty()) {
+  const auto Lagging =
+      waitInForce(Table, Next.m_Version, Common.m_InForceLimit);
+  if (Lagging.empty()) {
     Result.m_Json["in_force"] = true;
     Result.m_Text += ", in force everywhere";
     return Result;
   }
   Result.m_Error = CliError::NotInForce;
-  Result.m_Text += ", but not yet in force at: " + names(Late);
-  for (const InstanceName &Name : Late)
+  Result.m_Text += ", but not yet in force at: " + joinNames(Lagging);
+  for (const InstanceName &Name : Lagging)
     Result.m_Json["lagging"].push_back(Name.value());
   return Result;
 }
 
-Config nextOf(const Config &Base) {
+Config nextVersionOf(const Config &Base) {
   Config Next = Base;
   Next.m_Version = ConfigVersion(Base.m_Version.value() + 1);
   return Next;
@@ -111,7 +113,7 @@
   return true;
 }
 
-bool knowsDomain(const Config &Known, const DomainName &Name) {
+bool hasDomain(const Config &Known, const DomainName &Name) {
   return std::ranges::any_of(
       Known.m_Manifest.m_Domains,
       [&](const FailureDomain &Domain) { return Domain.m_Name == Name; });
@@ -124,17 +126,17 @@
   return Result;
 }
 
-CommandResult moveDomain(const CommonOptions &Common, const std::string &Name,
-                         bool Out) {
+CommandResult setDomainState(const CommonOptions &Common,
+                             const std::string &Name, bool Out) {
   TableSession Table(Common.m_Platform, Common.m_TableLimit);
   ClusterRows Current;
   if (const std::error_code Error = readCluster(Table, Current))
     return failure(Error);
   const DomainName Domain(Name);
-  if (!knowsDomain(Current.m_Config, Domain))
+  if (!hasDomain(Current.m_Config, Domain))
     return failure(CliError::InvalidInput,
                    "the manifest has no failure domain '" + Name + "'");
-  Config Next = nextOf(Current.m_Config);
+  Config Next = nextVersionOf(Current.m_Config);
   if (!setPresent(Next.m_DomainsOut, Domain, Out))
     return unchanged(Current.m_Config, "failure domain '" + Name + "' is " +
                                            (Out ? "out" : "in") + " already");
@@ -192,7 +194,7 @@
   }
   Result.m_Text = "against version " +
                   std::to_string(Current.m_Config.m_Version.value()) +
-                  (Lines.empty() ? ": no change" : ":\n" + joined(Lines));
+                  (Lines.empty() ? ": no change" : ":\n" + joinLines(Lines));
   return Result;
 }
 
@@ -213,11 +215,11 @@
   const auto Reasons =
       incompatibleChanges(Current.m_Config.m_Manifest, *Read.m_Manifest);
   if (!Reasons.empty())
-    return failure(CliError::InvalidInput, joined(Reasons));
-  Config Next = nextOf(Current.m_Config);
+    return failure(CliError::InvalidInput, joinLines(Reasons));
+  Config Next = nextVersionOf(Current.m_Config);
   Next.m_Manifest = *Read.m_Manifest;
   std::erase_if(Next.m_DomainsOut, [&Next](const DomainName &Name) {
-    return !knowsDomain(Next, Name);
+    return !hasDomain(Next, Name);
   });
   return commitAndWait(Common, Table, Current, Next, "manifest");
 }
@@ -237,12 +239,12 @@
 
 CommandResult takeDomainOut(const CommonOptions &Common,
                             const std::string &Name) {
-  return moveDomain(Common, Name, /*Out=*/true);
+  return setDomainState(Common, Name, /*Out=*/true);
 }
 
-CommandResult takeDomainIn(const CommonOptions &Common,
-                           const std::string &Name) {
-  return moveDomain(Common, Name, /*Out=*/false);
+CommandResult bringDomainIn(const CommonOptions &Common,
+                            const std::string &Name) {
+  return setDomainState(Common, Name, /*Out=*/false);
 }
 
 CommandResult drainInstance(const CommonOptions &Common,
@@ -258,7 +260,7 @@
       });
   if (!Known && !Undo)
     return failure(CliError::InvalidInput, "no instance '" + Name + "'");
-  Config Next = nextOf(Current.m_Config);
+  Config Next = nextVersionOf(Current.m_Config);
   if (!setPresent(Next.m_Draining, Instance, !Undo))
     return unchanged(Current.m_Config,
                      "instance '" + Name + "' " +
--- a/src/cli/change_commands.h
+++ b/src/cli/change_commands.h
@@ -31,8 +31,8 @@
 CommandResult showManifest(const CommonOptions &Common);
 CommandResult takeDomainOut(const CommonOptions &Common,
                             const std::string &Name);
-CommandResult takeDomainIn(const CommonOptions &Common,
-                           const std::string &Name);
+CommandResult bringDomainIn(const CommonOptions &Common,
+                            const std::string &Name);
 /// Tells an instance to leave, or with \p Undo to stay.
 CommandResult drainInstance(const CommonOptions &Common,
                             const std::string &Name, bool Undo);
--- a/src/cli/cluster_rows.cpp
+++ b/src/cli/cluster_rows.cpp
@@ -14,45 +14,45 @@
 /// Tries of a commit that lost only against bumps of the head row.
 constexpr int MaxHeadConflicts = 50;
 
-bool takeRow(const Row &Stored, ClusterRows &Into) {
+bool parseRow(const Row &Stored, ClusterRows &Output) {
   if (Stored.m_Key == HeadRowKey) {
     const auto Head = parseHeadRow(Stored);
-    Into.m_Head = Head.value_or(HeadRow{});
+    Output.m_Head = Head.value_or(HeadRow{});
     return Head.has_value();
   }
   if (Stored.m_Key == ConfigHeadRowKey) {
-    Into.m_ConfigRow = Stored;
+    Output.m_ConfigRow = Stored;
     if (Stored.m_Version == RowVersion())
       return true;
     const auto Found = configFromRow(Stored);
-    Into.m_Config = Found.value_or(Config{});
+    Output.m_Config = Found.value_or(Config{});
     return Found.has_value();
   }
   const auto Group = parseGroupRow(Stored);
   if (!Group)
     return false;
-  Into.m_Members.insert(Into.m_Members.end(), Group->m_Members.begin(),
-                        Group->m_Members.end());
+  Output.m_Members.insert(Output.m_Members.end(), Group->m_Members.begin(),
+                          Group->m_Members.end());
   return true;
 }
 
 } // namespace
 
-std::error_code readCluster(TableSession &Table, ClusterRows &Into) {
+std::error_code readCluster(TableSession &Table, ClusterRows &Output) {
   const auto Rows = Table.read({.m_Keys = {HeadRowKey, ConfigHeadRowKey},
                                 .m_Prefixes = {GroupRowPrefix}});
   if (!Rows)
     return CliError::Unreachable;
-  Into = {};
+  Output = {};
   for (const Row &Stored : *Rows)
-    if (!takeRow(Stored, Into))
+    if (!parseRow(Stored, Output))
       return CliError::BadRow;
   return {};
 }
 
 std::error_code commitConfig(TableSession &Table, ClusterRows Base,
                              const Config &Next) {
-  for (int Try = 0; Try < MaxHeadConflicts; ++Try) {
+  for (int Attempt = 0; Attempt < MaxHeadConflicts; ++Attempt) {
     Transaction Commit = makeConfigCommit(Base.m_ConfigRow, Base.m_Config, Next,
                                           randomWriteId());
     appendHeadUpdate(Commit, Base.m_Head,
@@ -69,8 +69,8 @@
   return CliError::Conflict;
 }
 
-std::vector<InstanceName> lagging(const std::vector<GroupMember> &Members,
-                                  ConfigVersion Version) {
+std::vector<InstanceName> findLagging(const std::vector<GroupMember> &Members,
+                                      ConfigVersion Version) {
   std::vector<InstanceName> Result;
   for (const GroupMember &Value : Members)
     if (Value.m_Member.m_ConfigApplied < Version)
@@ -83,17 +83,17 @@
                                       ConfigVersion Version,
                                       std::chrono::milliseconds Limit) {
   const Clock::time_point End = Clock::now() + Limit;
-  std::vector<InstanceName> Late;
+  std::vector<InstanceName> Lagging;
   do {
     ClusterRows Current;
     if (readCluster(Table, Current))
       continue;
-    Late = lagging(Current.m_Members, Version);
-    if (Late.empty())
-      return Late;
+    Lagging = findLagging(Current.m_Members, Version);
+    if (Lagging.empty())
+      return Lagging;
     std::this_thread::sleep_for(PollPeriod);
   } while (Clock::now() < End);
-  return Late;
+  return Lagging;
 }
 
 } // namespace balsamwheel::cli
--- a/src/cli/cluster_rows.h
+++ b/src/cli/cluster_rows.h
@@ -23,7 +23,7 @@
 ///
 /// \param Into receives the snapshot.
 /// \returns Unreachable or BadRow.
-std::error_code readCluster(TableSession &Table, ClusterRows &Into);
+std::error_code readCluster(TableSession &Table, ClusterRows &Output);
 
 /// Commits a new configuration on top of a snapshot.
 ///
@@ -34,8 +34,8 @@
                              const Config &Next);
 
 /// Members that have not applied a version yet.
-std::vector<InstanceName> lagging(const std::vector<GroupMember> &Members,
-                                  ConfigVersion Version);
+std::vector<InstanceName> findLagging(const std::vector<GroupMember> &Members,
+                                      ConfigVersion Version);
 
 /// Waits until each member has applied a version or has left.
 ///
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -77,7 +77,7 @@
        "brings a failure domain back into service",
        true,
        [](const Options &Common, const Words &Given, const Parsed &) {
-         return takeDomainIn(Common, Given[0]);
+         return bringDomainIn(Common, Given[0]);
        }},
       {{"drain"},
        {"INSTANCE"},
--- a/src/cli/remaining_capacity.cpp
+++ b/src/cli/remaining_capacity.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr int Samples = 4;
-constexpr std::chrono::milliseconds SampleGap{50};
+constexpr int SampleCount = 4;
+constexpr std::chrono::milliseconds SampleInterval{50};
 
 struct ServiceLoad {
   double m_Demand = 0;
@@ -27,7 +27,7 @@
 }
 
 /// Orders running or waiting at a daemon; 0 when it does not answer.
-double demandOf(AdminClient &Client, const Member &Value) {
+double readDemand(AdminClient &Client, const Member &Value) {
   if (Value.m_AdminAddress.empty())
     return 0;
   const auto Status = Client.get(Value.m_AdminAddress, "/v1/status");
@@ -38,20 +38,20 @@
 
 } // namespace
 
-bool isShort(double Demand, double Remaining) {
-  return Remaining <= 0 || Demand > BearableShare * Remaining;
+bool isInsufficient(double Demand, double Remaining) {
+  return Remaining <= 0 || Demand > UsableSlotShare * Remaining;
 }
 
 std::vector<Shortage> findShortages(const Config &Before, const Config &After,
                                     const std::vector<GroupMember> &Members) {
   std::map<ServiceName, ServiceLoad> Loads;
   AdminClient Client;
-  for (int Sample = 0; Sample < Samples; ++Sample) {
+  for (int Sample = 0; Sample < SampleCount; ++Sample) {
     for (const GroupMember &Value : Members)
       if (!Value.m_Member.m_Service.value().empty())
         Loads[Value.m_Member.m_Service].m_Demand +=
-            demandOf(Client, Value.m_Member) / Samples;
-    std::this_thread::sleep_for(SampleGap);
+            readDemand(Client, Value.m_Member) / SampleCount;
+    std::this_thread::sleep_for(SampleInterval);
   }
   for (const GroupMember &Value : Members) {
     const Member &Target = Value.m_Member;
@@ -65,7 +65,7 @@
   }
   std::vector<Shortage> Result;
   for (const auto &[Name, Load] : Loads)
-    if (Load.m_LosesTargets && isShort(Load.m_Demand, Load.m_Remaining))
+    if (Load.m_LosesTargets && isInsufficient(Load.m_Demand, Load.m_Remaining))
       Result.push_back({.m_Service = Name,
                         .m_Demand = Load.m_Demand,
                         .m_Remaining = Load.m_Remaining});
--- a/src/cli/remaining_capacity.h
+++ b/src/cli/remaining_capacity.h
@@ -19,10 +19,10 @@
 };
 
 /// Share of the remaining slots that may be in use without a shortage.
-inline constexpr double BearableShare = 0.8;
+inline constexpr double UsableSlotShare = 0.8;
 
 /// Judges demand against slots; a service with no remaining target is short.
-bool isShort(double Demand, double Remaining);
+bool isInsufficient(double Demand, double Remaining);
 
 /// Asks the daemons for their load and compares it with what remains.
 ///
--- a/src/cli/table_session.cpp
+++ b/src/cli/table_session.cpp
@@ -13,7 +13,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds RepeatDelay{100};
+constexpr std::chrono::milliseconds RetryDelay{100};
 
 } // namespace
 
@@ -28,8 +28,8 @@
 
 WriteId randomWriteId() {
   std::random_device Source;
-  std::uniform_int_distribution<std::uint64_t> Any(1);
-  return WriteId(Any(Source));
+  std::uniform_int_distribution<std::uint64_t> NonZero(1);
+  return WriteId(NonZero(Source));
 }
 
 TableSession::TableSession(const std::string &Platform,
@@ -58,12 +58,12 @@
     TableReply Reply = readOnce(What);
     if (Reply.m_Status == TableStatus::Ok)
       return std::move(Reply.m_Rows);
-    std::this_thread::sleep_for(RepeatDelay);
+    std::this_thread::sleep_for(RetryDelay);
   } while (Clock::now() < End);
   return std::nullopt;
 }
 
-bool TableSession::wroteMarker(const Transaction &What, const RowKey &Marker) {
+bool TableSession::hasWriteId(const Transaction &What, const RowKey &Marker) {
   const auto Rows = read({.m_Keys = {Marker}, .m_Prefixes = {}});
   return Rows && !Rows->empty() &&
          writeIdOf(Rows->front().m_Value) == What.m_Id;
@@ -79,7 +79,7 @@
       return {};
     case TableStatus::Conflict:
       // An earlier try of ours may be what the conditions ran into.
-      if (MayHaveApplied && wroteMarker(What, Marker))
+      if (MayHaveApplied && hasWriteId(What, Marker))
         return {};
       return CliError::Conflict;
     case TableStatus::Ambiguous:
@@ -88,7 +88,7 @@
     case TableStatus::Unavailable:
       break;
     }
-    std::this_thread::sleep_for(RepeatDelay);
+    std::this_thread::sleep_for(RetryDelay);
   } while (Clock::now() < End);
   return MayHaveApplied ? CliError::OutcomeUnknown : CliError::Unreachable;
 }
--- a/src/cli/table_session.h
+++ b/src/cli/table_session.h
@@ -38,7 +38,7 @@
 private:
   TableReply readOnce(const TableRead &What);
   TableReply commitOnce(const Transaction &What);
-  bool wroteMarker(const Transaction &What, const RowKey &Marker);
+  bool hasWriteId(const Transaction &What, const RowKey &Marker);
 
   platform_http::PlatformClient m_Client;
   std::chrono::milliseconds m_Limit;
--- a/src/cli/view_commands.cpp
+++ b/src/cli/view_commands.cpp
@@ -77,7 +77,7 @@
 }
 
 /// Counts the shards of each owner of one service.
-CommandResult ownersOf(const ClusterRows &Rows, const Service &Wanted,
+CommandResult ownersOf(const ClusterRows &Rows, const Service &Requested,
                        const std::vector<MapRow> &Map) {
   std::map<std::string, std::size_t> Counts;
   std::size_t Unsettled = 0;
@@ -88,7 +88,7 @@
     }
   CommandResult Result;
   std::ostringstream Text;
-  Text << Wanted.m_Name.value() << ": " << Wanted.m_Shards << " shards, "
+  Text << Requested.m_Name.value() << ": " << Requested.m_Shards << " shards, "
        << Unsettled << " being handed over";
   Json Owners = Json::object();
   for (const auto &[Name, Count] : Counts) {
@@ -96,7 +96,7 @@
     Owners[Name] = Count;
   }
   Result.m_Text = Text.str();
-  Result.m_Json = {{"shards", Wanted.m_Shards},
+  Result.m_Json = {{"shards", Requested.m_Shards},
                    {"unsettled", Unsettled},
                    {"owners", std::move(Owners)}};
   return Result;
@@ -122,15 +122,15 @@
   if (const std::error_code Error = readCluster(Table, Rows))
     return failure(Error);
   const ConfigVersion Version = Rows.m_Config.m_Version;
-  const auto Late = lagging(Rows.m_Members, Version);
+  const auto Lagging = findLagging(Rows.m_Members, Version);
   std::ostringstream Text;
   Text << "configuration version " << Version.value() << ", "
-       << Rows.m_Members.size() - Late.size() << " of " << Rows.m_Members.size()
-       << " instances have applied it";
+       << Rows.m_Members.size() - Lagging.size() << " of "
+       << Rows.m_Members.size() << " instances have applied it";
   CommandResult Result;
   Result.m_Json = {{"version", Version.value()},
-                   {"in_force", Late.empty()},
-                   {"lagging", Late.size()},
+                   {"in_force", Lagging.empty()},
+                   {"lagging", Lagging.size()},
                    {"instances", Json::array()},
                    {"domains", Json::object()}};
   for (const FailureDomain &Domain : Rows.m_Config.m_Manifest.m_Domains) {
@@ -168,9 +168,9 @@
     const auto Map = readMap(Table, Candidate.m_Name);
     if (!Map)
       return failure(CliError::Unreachable, "");
-    CommandResult One = ownersOf(Rows, Candidate, *Map);
-    Result.m_Text += (Result.m_Text.empty() ? "" : "\n") + One.m_Text;
-    Result.m_Json[Candidate.m_Name.value()] = std::move(One.m_Json);
+    CommandResult ServiceResult = ownersOf(Rows, Candidate, *Map);
+    Result.m_Text += (Result.m_Text.empty() ? "" : "\n") + ServiceResult.m_Text;
+    Result.m_Json[Candidate.m_Name.value()] = std::move(ServiceResult.m_Json);
   }
   if (Result.m_Text.empty())
     return failure(CliError::InvalidInput,
--- a/src/daemon/admin.h
+++ b/src/daemon/admin.h
@@ -22,10 +22,10 @@
   using Request = http_server::ControlRequest;
   using Response = http_server::ControlResponse;
 
-  Response handle(const Request &Asked);
-  Response drain(const Request &Asked);
+  Response handle(const Request &Incoming);
+  Response drain(const Request &Incoming);
   /// Runs a question on the core thread and waits for its answer.
-  template <typename Question> Response ask(const Question &Run);
+  template <typename Query> Response queryCore(const Query &Evaluate);
 
   CoreShared &m_Shared;
   http_server::ControlServer m_Server;
--- a/src/daemon/body_streams.cpp
+++ b/src/daemon/body_streams.cpp
@@ -18,9 +18,9 @@
 constexpr std::size_t ChunkSize = std::size_t{64} * 1024;
 constexpr std::uint64_t CreditWindow = runtime::DefaultPipeCapacity;
 /// Credit is renewed in portions of this size.
-constexpr std::uint64_t CreditPortion = CreditWindow / 4;
+constexpr std::uint64_t CreditBatch = CreditWindow / 4;
 /// A pipe without a reader fails after this time.
-constexpr Duration UnclaimedLimit = std::chrono::seconds(30);
+constexpr Duration UnclaimedTimeout = std::chrono::seconds(30);
 
 } // namespace
 
@@ -39,22 +39,22 @@
   std::uint64_t m_RemoteId = 0;
   std::shared_ptr<const Send> m_Send;
   /// Bytes read since credit was last renewed.
-  std::uint64_t m_Unreported = 0;
+  std::uint64_t m_ConsumedSinceCredit = 0;
   std::uint64_t m_NextOffset = 0;
 
   void onConsumed(std::size_t Bytes) {
-    std::uint64_t Portion = 0;
+    std::uint64_t Batch = 0;
     {
       const std::scoped_lock Lock(m_Mutex);
-      m_Unreported += Bytes;
-      if (m_Unreported < CreditPortion)
+      m_ConsumedSinceCredit += Bytes;
+      if (m_ConsumedSinceCredit < CreditBatch)
         return;
-      Portion = std::exchange(m_Unreported, 0);
+      Batch = std::exchange(m_ConsumedSinceCredit, 0);
     }
-    giveCredit(Portion);
+    grantCredit(Batch);
   }
 
-  void giveCredit(std::uint64_t Bytes) const {
+  void grantCredit(std::uint64_t Bytes) const {
     (*m_Send)(m_From, BodyMessage(BodyCredit{m_RemoteId, Bytes}));
   }
 
@@ -69,8 +69,8 @@
 
 BodyStreams::~BodyStreams() { failAll(); }
 
-BodyPipePtr BodyStreams::make(std::string_view Prefix,
-                              std::optional<std::uint64_t> Length) {
+BodyPipePtr BodyStreams::create(std::string_view Prefix,
+                                std::optional<std::uint64_t> Length) {
   const std::scoped_lock Lock(m_Mutex);
   BodyPipeOptions Options;
   Options.m_Id = m_NextId++;
@@ -81,10 +81,10 @@
   return Pipe;
 }
 
-std::uint64_t BodyStreams::adopt(const PeerAddress &From,
-                                 std::uint64_t RemoteId,
-                                 std::string_view Prefix,
-                                 std::optional<std::uint64_t> Length) {
+std::uint64_t BodyStreams::openRemote(const PeerAddress &From,
+                                      std::uint64_t RemoteId,
+                                      std::string_view Prefix,
+                                      std::optional<std::uint64_t> Length) {
   auto Source = std::make_shared<Incoming>();
   Source->m_From = From;
   Source->m_RemoteId = RemoteId;
@@ -103,7 +103,7 @@
   Options.m_OnAbandoned = [Source] { Source->cancel(); };
   m_Pipes.emplace(Options.m_Id, Entry{std::make_shared<BodyPipe>(Options),
                                       runtime::bootNow(), Source});
-  m_ByRemote[{From, RemoteId}] = Options.m_Id;
+  m_LocalIds[{From, RemoteId}] = Options.m_Id;
   return Options.m_Id;
 }
 
@@ -111,15 +111,15 @@
   Entry Found;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const auto Place = m_Pipes.find(Id);
-    if (Place == m_Pipes.end())
+    const auto Stored = m_Pipes.find(Id);
+    if (Stored == m_Pipes.end())
       return nullptr;
-    Found = Place->second;
+    Found = Stored->second;
   }
   if (!Found.m_Pipe->claimReader())
     return nullptr;
   if (Found.m_Incoming)
-    Found.m_Incoming->giveCredit(CreditWindow);
+    Found.m_Incoming->grantCredit(CreditWindow);
   return Found.m_Pipe;
 }
 
@@ -132,12 +132,12 @@
   Entry Found;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const auto Name = m_ByRemote.find({From, Chunk.m_Stream});
-    if (Name == m_ByRemote.end())
+    const auto Remote = m_LocalIds.find({From, Chunk.m_Stream});
+    if (Remote == m_LocalIds.end())
       return;
-    Found = m_Pipes.at(Name->second);
+    Found = m_Pipes.at(Remote->second);
     if (Chunk.m_Last)
-      m_ByRemote.erase(Name);
+      m_LocalIds.erase(Remote);
   }
   BodyPipe &Pipe = *Found.m_Pipe;
   std::uint64_t &NextOffset = Found.m_Incoming->m_NextOffset;
@@ -155,17 +155,17 @@
   std::shared_ptr<Outgoing> Stream;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const RemoteName Name{From, Credit.m_Stream};
-    if (const auto Known = m_Outgoing.find(Name); Known != m_Outgoing.end()) {
+    const RemoteStream Remote{From, Credit.m_Stream};
+    if (const auto Known = m_Outgoing.find(Remote); Known != m_Outgoing.end()) {
       Stream = Known->second;
     } else {
-      const auto Place = m_Pipes.find(Credit.m_Stream);
+      const auto Stored = m_Pipes.find(Credit.m_Stream);
       Stream = std::make_shared<Outgoing>();
       Stream->m_To = From;
       Stream->m_Send = m_Send;
-      if (Place != m_Pipes.end() && Place->second.m_Pipe->claimReader())
-        Stream->m_Pipe = Place->second.m_Pipe;
-      m_Outgoing.emplace(Name, Stream);
+      if (Stored != m_Pipes.end() && Stored->second.m_Pipe->claimReader())
+        Stream->m_Pipe = Stored->second.m_Pipe;
+      m_Outgoing.emplace(Remote, Stream);
     }
   }
   if (!Stream->m_Pipe) {
@@ -230,8 +230,8 @@
       if (Item.m_Incoming && Item.m_Incoming->m_From == Peer &&
           Item.m_Pipe->readerClaimed())
         Broken.push_back(Item.m_Pipe);
-    for (auto &[Name, Stream] : m_Outgoing)
-      if (Name.first == Peer && Stream->m_Pipe)
+    for (auto &[Remote, Stream] : m_Outgoing)
+      if (Remote.first == Peer && Stream->m_Pipe)
         Broken.push_back(Stream->m_Pipe);
   }
   for (const BodyPipePtr &Pipe : Broken)
@@ -244,12 +244,13 @@
   {
     const std::scoped_lock Lock(m_Mutex);
     for (auto &[Id, Item] : m_Pipes)
-      if (!Item.m_Pipe->readerClaimed() && Now - Item.m_Made > UnclaimedLimit)
+      if (!Item.m_Pipe->readerClaimed() &&
+          Now - Item.m_CreatedAt > UnclaimedTimeout)
         Unread.push_back(Item.m_Pipe);
     std::erase_if(m_Pipes, [](const auto &Item) {
       return Item.second.m_Pipe->state() != PipeState::Open;
     });
-    std::erase_if(m_ByRemote, [this](const auto &Item) {
+    std::erase_if(m_LocalIds, [this](const auto &Item) {
       return !m_Pipes.contains(Item.second);
     });
     std::erase_if(m_Outgoing, [](const auto &Item) {
@@ -269,7 +270,7 @@
     for (auto &[Id, Item] : m_Pipes)
       All.push_back(Item.m_Pipe);
     m_Pipes.clear();
-    m_ByRemote.clear();
+    m_LocalIds.clear();
     m_Outgoing.clear();
   }
   for (const BodyPipePtr &Pipe : All)
--- a/src/daemon/body_streams.h
+++ b/src/daemon/body_streams.h
@@ -32,14 +32,14 @@
   ~BodyStreams();
 
   /// Makes a pipe that is written in this process.
-  runtime::BodyPipePtr make(std::string_view Prefix,
-                            std::optional<std::uint64_t> Length);
+  runtime::BodyPipePtr create(std::string_view Prefix,
+                              std::optional<std::uint64_t> Length);
   /// Gives a body that another daemon holds a local pipe.
   ///
   /// \returns the local name of the body.
-  std::uint64_t adopt(const PeerAddress &From, std::uint64_t RemoteId,
-                      std::string_view Prefix,
-                      std::optional<std::uint64_t> Length);
+  std::uint64_t openRemote(const PeerAddress &From, std::uint64_t RemoteId,
+                           std::string_view Prefix,
+                           std::optional<std::uint64_t> Length);
   /// Takes a pipe for reading in this process; null when it is unknown or
   /// has a reader.
   runtime::BodyPipePtr claim(std::uint64_t Id);
@@ -56,15 +56,15 @@
   struct Outgoing;
   /// A body that another daemon sends to this one.
   struct Incoming;
-  using RemoteName = std::pair<PeerAddress, std::uint64_t>;
-  struct RemoteNameHash {
-    std::size_t operator()(const RemoteName &Name) const noexcept {
-      return std::hash<PeerAddress>()(Name.first) * 31 + Name.second;
+  using RemoteStream = std::pair<PeerAddress, std::uint64_t>;
+  struct RemoteStreamHash {
+    std::size_t operator()(const RemoteStream &Remote) const noexcept {
+      return std::hash<PeerAddress>()(Remote.first) * 31 + Remote.second;
     }
   };
   struct Entry {
     runtime::BodyPipePtr m_Pipe;
-    TimePoint m_Made;
+    TimePoint m_CreatedAt;
     /// Set for a body of another daemon.
     std::shared_ptr<Incoming> m_Incoming;
   };
@@ -78,8 +78,8 @@
   mutable std::mutex m_Mutex;
   std::uint64_t m_NextId;
   std::unordered_map<std::uint64_t, Entry> m_Pipes;
-  std::unordered_map<RemoteName, std::uint64_t, RemoteNameHash> m_ByRemote;
-  std::unordered_map<RemoteName, std::shared_ptr<Outgoing>, RemoteNameHash>
+  std::unordered_map<RemoteStream, std::uint64_t, RemoteStreamHash> m_LocalIds;
+  std::unordered_map<RemoteStream, std::shared_ptr<Outgoing>, RemoteStreamHash>
       m_Outgoing;
 };
 
--- a/src/daemon/core.h
+++ b/src/daemon/core.h
@@ -31,7 +31,7 @@
           PeerTransport Peers>
 class Core {
 public:
-  struct Surroundings {
+  struct AdapterRefs {
     Callers &m_Callers;
     Target &m_Target;
     Table &m_Table;
@@ -39,21 +39,21 @@
     BodyStreams &m_Bodies;
   };
 
-  Core(Node Subject, CoreShared &Shared, Surroundings Around,
+  Core(Node Subject, CoreShared &Shared, AdapterRefs Adapters,
        Duration ShutdownLimit)
-      : m_Node(std::move(Subject)), m_Shared(Shared), m_Around(Around),
+      : m_Node(std::move(Subject)), m_Shared(Shared), m_Adapters(Adapters),
         m_ShutdownLimit(ShutdownLimit) {}
 
   /// Runs until a shutdown was asked for and everything is drained.
   void run() {
     m_Node.start(runtime::bootNow());
-    carryOutEffects();
-    while (!shutdownDone(runtime::bootNow())) {
+    executeEffects();
+    while (!shutdownComplete(runtime::bootNow())) {
       Event Next;
       while (m_Shared.m_Inbox.tryTake(Next)) {
         const TimePoint Now = runtime::bootNow();
         std::visit([this, Now](auto &Item) { handle(Item, Now); }, Next);
-        carryOutEffects();
+        executeEffects();
         tickIfDue(Now);
       }
       const TimePoint Now = runtime::bootNow();
@@ -64,17 +64,17 @@
 
 private:
   /// A request between its arrival and its answer, for logs and metrics.
-  struct Track {
+  struct TrackedRequest {
     RequestId m_Id;
     ServiceName m_Service;
     ClassName m_Class;
-    TimePoint m_Arrived;
+    TimePoint m_ReceivedAt;
     std::uint64_t m_BodyStream = 0;
   };
 
   static constexpr Duration HousekeepingPeriod = std::chrono::milliseconds(250);
   /// How often the end of a shutdown is looked for.
-  static constexpr Duration ShutdownPeriod = std::chrono::milliseconds(10);
+  static constexpr Duration ShutdownPollPeriod = std::chrono::milliseconds(10);
 
   /// Lets the last messages to other daemons leave before the process ends.
   static constexpr Duration ShutdownLinger = std::chrono::milliseconds(250);
@@ -82,82 +82,84 @@
   TimePoint wakeTime(TimePoint Now) const {
     TimePoint Result = std::min(m_Node.nextWake(), m_NextHousekeeping);
     if (m_ShuttingDown)
-      Result = std::min(Result, Now + ShutdownPeriod);
+      Result = std::min(Result, Now + ShutdownPollPeriod);
     return Result;
   }
 
   void tickIfDue(TimePoint Now) {
     if (Now >= m_Node.nextWake()) {
       m_Node.onTick(Now);
-      carryOutEffects();
+      executeEffects();
     }
     if (Now >= m_NextHousekeeping)
-      keepHouse(Now);
+      runHousekeeping(Now);
   }
 
-  void keepHouse(TimePoint Now) {
+  void runHousekeeping(TimePoint Now) {
     m_NextHousekeeping = Now + HousekeepingPeriod;
-    m_Around.m_Bodies.expire(Now);
+    m_Adapters.m_Bodies.expire(Now);
     m_Shared.m_Metrics.update(m_Node.status(Now), m_Shared.m_Inbox.size(),
-                              m_Around.m_Bodies.size(), Now);
+                              m_Adapters.m_Bodies.size(), Now);
   }
 
   void publishConfig() {
-    std::shared_ptr<const Config> Known = m_Node.coordinator().config();
-    if (Known == m_Published)
+    std::shared_ptr<const Config> Current = m_Node.coordinator().config();
+    if (Current == m_PublishedConfig)
       return;
-    m_Published = Known;
-    m_Shared.m_Config.store(Known);
-    if (Known)
+    m_PublishedConfig = Current;
+    m_Shared.m_Config.store(Current);
+    if (Current)
       LOG4CPLUS_INFO(logger(), "configuration version "
-                                   << Known->m_Version.value()
+                                   << Current->m_Version.value()
                                    << " is in force");
   }
 
-  bool shutdownDone(TimePoint Now) {
+  bool shutdownComplete(TimePoint Now) {
     if (!m_ShuttingDown)
       return false;
-    if (Now - m_ShutdownBegan > m_ShutdownLimit) {
+    if (Now - m_ShutdownStart > m_ShutdownLimit) {
       LOG4CPLUS_WARN(logger(), "the shutdown reached its time limit");
       return true;
     }
     if (!m_Node.drained()) {
-      m_IdleSince = Now;
+      m_LastBusy = Now;
       return false;
     }
     if (!std::exchange(m_StoppedListening, true))
-      m_Around.m_Callers.stopListening();
-    if (m_Around.m_Callers.openRequests() > 0 || m_Around.m_Bodies.size() > 0) {
-      m_IdleSince = Now;
+      m_Adapters.m_Callers.stopListening();
+    if (m_Adapters.m_Callers.openRequests() > 0 ||
+        m_Adapters.m_Bodies.size() > 0) {
+      m_LastBusy = Now;
       return false;
     }
-    return Now - m_IdleSince > ShutdownLinger;
+    return Now - m_LastBusy > ShutdownLinger;
   }
 
   // Events.
 
   void handle(std::monostate, TimePoint) {}
 
-  void handle(CallerArrived &Item, TimePoint Now) {
+  void handle(CallerRequestReceived &Item, TimePoint Now) {
     IncomingRequest &Request = Item.m_Request;
-    m_Tracks.emplace(Request.m_Handle,
-                     Track{.m_Id = Request.m_Meta.m_Id,
-                           .m_Service = Request.m_Meta.m_Service,
-                           .m_Class = Request.m_Meta.m_Class,
-                           .m_Arrived = Now,
-                           .m_BodyStream = Request.m_Http.m_BodyStream});
+    m_TrackedRequests.emplace(
+        Request.m_Handle,
+        TrackedRequest{.m_Id = Request.m_Meta.m_Id,
+                       .m_Service = Request.m_Meta.m_Service,
+                       .m_Class = Request.m_Meta.m_Class,
+                       .m_ReceivedAt = Now,
+                       .m_BodyStream = Request.m_Http.m_BodyStream});
     m_Node.onCallerRequest(std::move(Request), Now);
   }
 
-  void handle(const CallerGone &Item, TimePoint Now) {
+  void handle(const CallerDisconnected &Item, TimePoint Now) {
     m_Node.onCallerDisconnected(Item.m_Request, Now);
   }
 
-  void handle(const ControlArrived &Item, TimePoint Now) {
+  void handle(const ControlReceived &Item, TimePoint Now) {
     m_Node.onControl(Item.m_Message, Item.m_From, Now);
   }
 
-  void handle(RequestArrived &Item, TimePoint Now) {
+  void handle(PeerRequestReceived &Item, TimePoint Now) {
     m_Node.onRequest(std::move(Item.m_Message), Item.m_From, Now);
   }
 
@@ -171,12 +173,13 @@
     m_Node.onTableReply(Item.m_Ticket, Item.m_Reply, Now);
   }
 
-  void handle(OrderAnswering &Item, TimePoint Now) {
+  void handle(OrderHeadReceived &Item, TimePoint Now) {
     m_Node.onOrderAnswerHead(Item.m_Order, std::move(Item.m_Head), Now);
   }
 
   void handle(OrderEnded &Item, TimePoint Now) {
-    m_Shared.m_Metrics.orderEnded(Item.m_Report.m_End, Item.m_Report.m_Latency);
+    m_Shared.m_Metrics.recordOrderEnd(Item.m_Report.m_End,
+                                      Item.m_Report.m_Latency);
     m_Node.onOrderEnd(std::move(Item.m_Report), Now);
   }
 
@@ -192,7 +195,7 @@
     m_Node.onTargetLeaving(Now);
   }
 
-  void handle(const ShutdownAsked &Item, TimePoint Now) {
+  void handle(const ShutdownRequested &Item, TimePoint Now) {
     if (!m_Draining) {
       LOG4CPLUS_INFO(logger(), "draining");
       m_Node.beginShutdown(Now);
@@ -201,39 +204,41 @@
     if (!Item.m_Exit || m_ShuttingDown)
       return;
     m_ShuttingDown = true;
-    m_ShutdownBegan = Now;
-    m_Around.m_Callers.closeAfterAnswers();
+    m_ShutdownStart = Now;
+    m_Adapters.m_Callers.closeAfterAnswers();
   }
 
-  void handle(const Inspect &Item, TimePoint Now) { Item.m_Run(m_Node, Now); }
+  void handle(const Inspect &Item, TimePoint Now) { Item.m_Visit(m_Node, Now); }
 
   // Effects.
 
-  void carryOutEffects() {
-    Effects Todo = m_Node.takeEffects();
-    for (Effect &Item : Todo)
-      std::visit([this](auto &What) { carryOut(What); }, Item);
+  void executeEffects() {
+    Effects Pending = m_Node.takeEffects();
+    for (Effect &Item : Pending)
+      std::visit([this](auto &Command) { execute(Command); }, Item);
     publishConfig();
   }
 
-  void carryOut(SendControl &What) {
+  void execute(SendControl &Command) {
     m_Shared.m_Metrics.controlMessages().Increment();
-    m_Around.m_Peers.send(What.m_To, PeerMessage(std::move(What.m_Message)));
+    m_Adapters.m_Peers.send(Command.m_To,
+                            PeerMessage(std::move(Command.m_Message)));
   }
 
-  void carryOut(SendRequest &What) {
+  void execute(SendRequest &Command) {
     m_Shared.m_Metrics.requestMessages().Increment();
-    m_Around.m_Peers.send(What.m_To, PeerMessage(std::move(What.m_Message)));
+    m_Adapters.m_Peers.send(Command.m_To,
+                            PeerMessage(std::move(Command.m_Message)));
   }
 
-  void carryOut(const ReadTable &What) {
+  void execute(const ReadTable &Command) {
     m_Shared.m_Metrics.tableReads().Increment();
-    m_Around.m_Table.read(What.m_Read, replyTo(What.m_Ticket));
+    m_Adapters.m_Table.read(Command.m_Read, replyTo(Command.m_Ticket));
   }
 
-  void carryOut(const CommitTable &What) {
+  void execute(const CommitTable &Command) {
     m_Shared.m_Metrics.tableCommits().Increment();
-    m_Around.m_Table.commit(What.m_Transaction, replyTo(What.m_Ticket));
+    m_Adapters.m_Table.commit(Command.m_Transaction, replyTo(Command.m_Ticket));
   }
 
   std::function<void(TableReply)> replyTo(TableTicket Ticket) {
@@ -242,16 +247,16 @@
     };
   }
 
-  void carryOut(StartOrder &What) {
+  void execute(StartOrder &Command) {
     runtime::BodyPipePtr Upload;
-    if (const std::uint64_t Stream = What.m_Http.m_BodyStream; Stream != 0) {
-      Upload = m_Around.m_Bodies.claim(Stream);
+    if (const std::uint64_t Stream = Command.m_Http.m_BodyStream; Stream != 0) {
+      Upload = m_Adapters.m_Bodies.claim(Stream);
       if (!Upload) {
-        reportNotSent(What.m_Order);
+        reportNotSent(Command.m_Order);
         return;
       }
     }
-    m_Around.m_Target.startOrder(std::move(What), std::move(Upload));
+    m_Adapters.m_Target.startOrder(std::move(Command), std::move(Upload));
   }
 
   /// The body is gone, so nothing was sent.
@@ -263,40 +268,43 @@
       LOG4CPLUS_ERROR(logger(), "the inbox is full; an order's end is lost");
   }
 
-  void carryOut(const CancelOrder &What) {
-    m_Around.m_Target.cancelOrder(What.m_Order);
+  void execute(const CancelOrder &Command) {
+    m_Adapters.m_Target.cancelOrder(Command.m_Order);
   }
 
-  void carryOut(const GrantEpoch &What) { m_Around.m_Target.grant(What); }
+  void execute(const GrantEpoch &Command) {
+    m_Adapters.m_Target.grant(Command);
+  }
 
-  void carryOut(const ResetPeer &What) {
+  void execute(const ResetPeer &Command) {
     LOG4CPLUS_INFO(logger(),
-                   "resetting the connection with " << What.m_Peer.value());
-    m_Around.m_Peers.reset(What.m_Peer);
+                   "resetting the connection with " << Command.m_Peer.value());
+    m_Adapters.m_Peers.reset(Command.m_Peer);
   }
 
-  void carryOut(AnswerCaller &What) {
-    const auto Found = m_Tracks.find(What.m_Request);
-    if (Found != m_Tracks.end()) {
-      record(Found->second, What);
-      m_Tracks.erase(Found);
+  void execute(AnswerCaller &Command) {
+    const auto Found = m_TrackedRequests.find(Command.m_Request);
+    if (Found != m_TrackedRequests.end()) {
+      record(Found->second, Command);
+      m_TrackedRequests.erase(Found);
     }
     runtime::BodyPipePtr Rest;
-    if (What.m_Http.m_BodyStream != 0)
-      Rest = m_Around.m_Bodies.claim(What.m_Http.m_BodyStream);
-    m_Around.m_Callers.answer(std::move(What), std::move(Rest));
+    if (Command.m_Http.m_BodyStream != 0)
+      Rest = m_Adapters.m_Bodies.claim(Command.m_Http.m_BodyStream);
+    m_Adapters.m_Callers.answer(std::move(Command), std::move(Rest));
   }
 
-  void record(const Track &Request, const AnswerCaller &Answer) {
-    const Duration Latency = runtime::bootNow() - Request.m_Arrived;
-    m_Shared.m_Metrics.requestDone(Request.m_Service, Request.m_Class,
-                                   Answer.m_Outcome, Answer.m_Reason, Latency);
-    const bool Unknown = Answer.m_Outcome == Outcome::Unknown;
+  void record(const TrackedRequest &Request, const AnswerCaller &Answer) {
+    const Duration Latency = runtime::bootNow() - Request.m_ReceivedAt;
+    m_Shared.m_Metrics.recordRequest(Request.m_Service, Request.m_Class,
+                                     Answer.m_Outcome, Answer.m_Reason,
+                                     Latency);
+    const bool IsUnknown = Answer.m_Outcome == Outcome::Unknown;
     const auto Level =
-        Unknown ? log4cplus::WARN_LOG_LEVEL : log4cplus::DEBUG_LOG_LEVEL;
+        IsUnknown ? log4cplus::WARN_LOG_LEVEL : log4cplus::DEBUG_LOG_LEVEL;
     if (!logger().isEnabledFor(Level))
       return;
-    const LogRequest Context(Request.m_Id);
+    const RequestLogScope Context(Request.m_Id);
     std::ostringstream Line;
     Line << Request.m_Service.value() << "/" << Request.m_Class.value() << " "
          << toString(Answer.m_Outcome) << " " << toString(Answer.m_Reason)
@@ -307,14 +315,14 @@
 
   Node m_Node;
   CoreShared &m_Shared;
-  Surroundings m_Around;
+  AdapterRefs m_Adapters;
   const Duration m_ShutdownLimit;
-  std::shared_ptr<const Config> m_Published;
-  std::unordered_map<RequestHandle, Track> m_Tracks;
+  std::shared_ptr<const Config> m_PublishedConfig;
+  std::unordered_map<RequestHandle, TrackedRequest> m_TrackedRequests;
   TimePoint m_NextHousekeeping;
-  TimePoint m_ShutdownBegan;
+  TimePoint m_ShutdownStart;
   /// When a shutdown last saw something open.
-  TimePoint m_IdleSince;
+  TimePoint m_LastBusy;
   bool m_Draining = false;
   bool m_ShuttingDown = false;
   bool m_StoppedListening = false;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -30,18 +30,18 @@
 
 class Daemon::Impl {
 public:
-  explicit Impl(Settings Given)
-      : m_Settings(std::move(Given)), m_Seed(randomSeed()),
+  explicit Impl(Settings InitialSettings)
+      : m_Settings(std::move(InitialSettings)), m_Seed(randomSeed()),
         m_Bodies(
             [this](const PeerAddress &To, PeerMessage Message) {
               sendBody(To, std::move(Message));
             },
             randomSeed() >> 1U),
-        m_Gate(m_Shared, m_Bodies),
+        m_PeerReceiver(m_Shared, m_Bodies),
         m_Peers({.m_Listen = PeerAddress(m_Settings.m_PeerListen),
                  .m_Advertised = PeerAddress(m_Settings.m_PeerAdvertised),
                  .m_MaxConnections = m_Settings.m_PeerConnections},
-                m_Gate.handlers()),
+                m_PeerReceiver.handlers()),
         m_Platform({.m_Address = m_Settings.m_PlatformAddress,
                     .m_Instance = m_Settings.m_Instance.value(),
                     .m_Timeout = m_Settings.m_PlatformTimeout}),
@@ -61,13 +61,13 @@
 
   std::error_code start() {
     if (const std::error_code Error = m_Peers.start())
-      return report("peer", m_Settings.m_PeerListen, Error);
+      return reportListenError("peer", m_Settings.m_PeerListen, Error);
     if (const std::error_code Error = m_Target.start())
-      return report("target", m_Settings.m_TargetListen, Error);
+      return reportListenError("target", m_Settings.m_TargetListen, Error);
     if (const std::error_code Error = m_Admin.start())
-      return report("admin", m_Settings.m_AdminListen, Error);
+      return reportListenError("admin", m_Settings.m_AdminListen, Error);
     if (const std::error_code Error = m_Callers.start())
-      return report("callers", m_Settings.m_CallerListen, Error);
+      return reportListenError("callers", m_Settings.m_CallerListen, Error);
     return {};
   }
 
@@ -76,11 +76,12 @@
     stop();
   }
 
-  void shutdown() { m_Shared.m_Inbox.post(ShutdownAsked{}); }
+  void shutdown() { m_Shared.m_Inbox.post(ShutdownRequested{}); }
 
 private:
-  static std::error_code report(const char *Field, const std::string &Address,
-                                std::error_code Error) {
+  static std::error_code reportListenError(const char *Field,
+                                           const std::string &Address,
+                                           std::error_code Error) {
     LOG4CPLUS_ERROR(logger(), "cannot listen on " << Address << " (" << Field
                                                   << "): " << Error.message());
     return Error;
@@ -97,29 +98,29 @@
   http_client::PipeFactory pipeFactory() {
     return
         [this](std::string_view Prefix, std::optional<std::uint64_t> Length) {
-          return m_Bodies.make(Prefix, Length);
+          return m_Bodies.create(Prefix, Length);
         };
   }
 
   target_http::TargetHandlers targetHandlers() {
-    Inbox &In = m_Shared.m_Inbox;
+    Inbox &Events = m_Shared.m_Inbox;
     return {
         .m_OnReady =
-            [&In](const target_http::Announcement &News) {
-              In.post(TargetReady{News.m_Service, News.m_Slots});
+            [&Events](const target_http::Announcement &Message) {
+              Events.post(TargetReady{Message.m_Service, Message.m_Slots});
             },
-        .m_OnLeaving = [&In] { In.post(TargetLeft{}); },
+        .m_OnLeaving = [&Events] { Events.post(TargetLeft{}); },
         .m_OnAnswering =
-            [&In](OrderId Order, HttpAnswer Head) {
-              In.post(OrderAnswering{Order, std::move(Head)});
+            [&Events](OrderId Order, HttpAnswer Head) {
+              Events.post(OrderHeadReceived{Order, std::move(Head)});
             },
         .m_OnEnd =
-            [&In](OrderReport Report) {
-              In.post(OrderEnded{std::move(Report)});
+            [&Events](OrderReport Report) {
+              Events.post(OrderEnded{std::move(Report)});
             },
         .m_OnLoad =
-            [this](target_http::LoadHint Hint) {
-              m_Shared.m_Metrics.targetLoad(Hint.m_Load, Hint.m_Healthy);
+            [this](target_http::LoadHint Report) {
+              m_Shared.m_Metrics.setTargetLoad(Report.m_Load, Report.m_Healthy);
             },
     };
   }
@@ -129,7 +130,7 @@
         .m_Config = [this] { return m_Shared.m_Config.load(); },
         .m_OnRequest =
             [this](IncomingRequest &Request) {
-              Event Item = CallerArrived{std::move(Request)};
+              Event Item = CallerRequestReceived{std::move(Request)};
               if (m_Shared.m_Inbox.tryPost(Item))
                 return true;
               m_Shared.m_Metrics.droppedEvents().Increment();
@@ -137,11 +138,11 @@
             },
         .m_OnGone =
             [this](RequestHandle Request) {
-              m_Shared.m_Inbox.post(CallerGone{Request});
+              m_Shared.m_Inbox.post(CallerDisconnected{Request});
             },
         .m_MakePipe = pipeFactory(),
         .m_OnRefused =
-            [this](Reason Why) { m_Shared.m_Metrics.requestRefused(Why); },
+            [this](Reason Why) { m_Shared.m_Metrics.recordRefusal(Why); },
     };
   }
 
@@ -161,7 +162,7 @@
   const std::uint64_t m_Seed;
   CoreShared m_Shared;
   BodyStreams m_Bodies;
-  PeerGate m_Gate;
+  PeerReceiver m_PeerReceiver;
   TcpTransport m_Peers;
   PlatformClient m_Platform;
   TargetLink m_Target;
@@ -170,8 +171,8 @@
   Core<CallerServer, TargetLink, PlatformClient, TcpTransport> m_Core;
 };
 
-Daemon::Daemon(Settings Given)
-    : m_Impl(std::make_unique<Impl>(std::move(Given))) {}
+Daemon::Daemon(Settings InitialSettings)
+    : m_Impl(std::make_unique<Impl>(std::move(InitialSettings))) {}
 
 Daemon::~Daemon() = default;
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -11,7 +11,7 @@
 /// Lives as long as the process. Starts threads; reads no command line.
 class Daemon {
 public:
-  explicit Daemon(Settings Given);
+  explicit Daemon(Settings InitialSettings);
   ~Daemon();
 
   /// Opens all listening sockets.
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -15,20 +15,20 @@
 
 namespace balsamwheel::daemon {
 
-struct CallerArrived {
+struct CallerRequestReceived {
   IncomingRequest m_Request;
 };
 
-struct CallerGone {
+struct CallerDisconnected {
   RequestHandle m_Request;
 };
 
-struct ControlArrived {
+struct ControlReceived {
   PeerAddress m_From;
   ControlMessage m_Message;
 };
 
-struct RequestArrived {
+struct PeerRequestReceived {
   PeerAddress m_From;
   RequestMessage m_Message;
 };
@@ -42,7 +42,7 @@
   TableReply m_Reply;
 };
 
-struct OrderAnswering {
+struct OrderHeadReceived {
   OrderId m_Order;
   HttpAnswer m_Head;
 };
@@ -59,20 +59,21 @@
 struct TargetLeft {};
 
 /// Hand everything over.
-struct ShutdownAsked {
+struct ShutdownRequested {
   /// End the process afterwards.
   bool m_Exit = true;
 };
 
 /// Runs a function on the core thread, for status pages.
 struct Inspect {
-  std::function<void(const Node &Subject, TimePoint Now)> m_Run;
+  std::function<void(const Node &Subject, TimePoint Now)> m_Visit;
 };
 
 using Event =
-    std::variant<std::monostate, CallerArrived, CallerGone, ControlArrived,
-                 RequestArrived, PeerLost, TableReplied, OrderAnswering,
-                 OrderEnded, TargetReady, TargetLeft, ShutdownAsked, Inspect>;
+    std::variant<std::monostate, CallerRequestReceived, CallerDisconnected,
+                 ControlReceived, PeerRequestReceived, PeerLost, TableReplied,
+                 OrderHeadReceived, OrderEnded, TargetReady, TargetLeft,
+                 ShutdownRequested, Inspect>;
 
 /// The bounded ring in front of the core thread. Requests and messages from
 /// peers are dropped when it is full; replies wait for room.
@@ -87,7 +88,7 @@
   /// thread.
   void post(Event Value) {
     while (!m_Closed && !m_Mailbox.tryPush(Value))
-      std::this_thread::sleep_for(FullDelay);
+      std::this_thread::sleep_for(FullRetryDelay);
   }
   /// The core thread takes nothing more.
   void close() { m_Closed = true; }
@@ -104,7 +105,7 @@
 
 private:
   static constexpr std::size_t DefaultCapacity = 8192;
-  static constexpr std::chrono::microseconds FullDelay{100};
+  static constexpr std::chrono::microseconds FullRetryDelay{100};
 
   runtime::EventWaker m_Waker;
   runtime::Mailbox<Event, runtime::EventWaker> m_Mailbox;
--- a/src/daemon/logging.cpp
+++ b/src/daemon/logging.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr const char *RequestKey = "request_id";
-constexpr const char *InstanceKey = "instance";
+constexpr const char *RequestIdField = "request_id";
+constexpr const char *InstanceField = "instance";
 constexpr const char *TextPattern =
     "%D{%Y-%m-%dT%H:%M:%S.%q} %-5p [%X{instance}] [%X{request_id}] %m%n";
 
@@ -28,15 +28,16 @@
 
   void
   formatAndAppend(log4cplus::tostream &Output,
-                  const log4cplus::spi::InternalLoggingEvent &Line) override {
+                  const log4cplus::spi::InternalLoggingEvent &Event) override {
     nlohmann::json Object{
         {"time", log4cplus::helpers::getFormattedTime(
-                     "%Y-%m-%dT%H:%M:%S.%qZ", Line.getTimestamp(), true)},
-        {"level", log4cplus::getLogLevelManager().toString(Line.getLogLevel())},
-        {InstanceKey, m_Instance},
-        {"message", Line.getMessage()}};
-    if (const std::string Id = Line.getMDC(RequestKey); !Id.empty())
-      Object[RequestKey] = Id;
+                     "%Y-%m-%dT%H:%M:%S.%qZ", Event.getTimestamp(), true)},
+        {"level",
+         log4cplus::getLogLevelManager().toString(Event.getLogLevel())},
+        {InstanceField, m_Instance},
+        {"message", Event.getMessage()}};
+    if (const std::string Id = Event.getMDC(RequestIdField); !Id.empty())
+      Object[RequestIdField] = Id;
     Output << Object.dump(-1, ' ', false,
                           nlohmann::json::error_handler_t::replace)
            << '\n';
@@ -51,8 +52,8 @@
   std::string Result = TextPattern;
   const std::string Field = "%X{instance}";
   std::string Name;
-  for (const char C : Instance)
-    Name += C == '%' ? std::string("%%") : std::string(1, C);
+  for (const char Character : Instance)
+    Name += Character == '%' ? std::string("%%") : std::string(1, Character);
   Result.replace(Result.find(Field), Field.size(), Name);
   return Result;
 }
@@ -76,13 +77,14 @@
   else
     Output->setLayout(
         std::make_unique<log4cplus::PatternLayout>(textPattern(Instance)));
-  log4cplus::Logger Target = logger();
-  Target.removeAllAppenders();
-  Target.addAppender(Output);
+  log4cplus::Logger Log = logger();
+  Log.removeAllAppenders();
+  Log.addAppender(Output);
   std::string Level = Given.m_LogLevel;
-  for (char &C : Level)
-    C = static_cast<char>(std::toupper(static_cast<unsigned char>(C)));
-  Target.setLogLevel(log4cplus::getLogLevelManager().fromString(Level));
+  for (char &Character : Level)
+    Character =
+        static_cast<char>(std::toupper(static_cast<unsigned char>(Character)));
+  Log.setLogLevel(log4cplus::getLogLevelManager().fromString(Level));
 }
 
 log4cplus::Logger &logger() {
@@ -91,10 +93,12 @@
   return Instance;
 }
 
-LogRequest::LogRequest(const RequestId &Id) {
-  log4cplus::getMDC().put(RequestKey, Id.value());
+RequestLogScope::RequestLogScope(const RequestId &Id) {
+  log4cplus::getMDC().put(RequestIdField, Id.value());
 }
 
-LogRequest::~LogRequest() { log4cplus::getMDC().remove(RequestKey); }
+RequestLogScope::~RequestLogScope() {
+  log4cplus::getMDC().remove(RequestIdField);
+}
 
 } // namespace balsamwheel::daemon
--- a/src/daemon/logging.h
+++ b/src/daemon/logging.h
@@ -16,12 +16,12 @@
 log4cplus::Logger &logger();
 
 /// Puts a request's id on the lines logged while it lives.
-class LogRequest {
+class RequestLogScope {
 public:
-  explicit LogRequest(const RequestId &Id);
-  ~LogRequest();
-  LogRequest(const LogRequest &) = delete;
-  LogRequest &operator=(const LogRequest &) = delete;
+  explicit RequestLogScope(const RequestId &Id);
+  ~RequestLogScope();
+  RequestLogScope(const RequestLogScope &) = delete;
+  RequestLogScope &operator=(const RequestLogScope &) = delete;
 };
 
 } // namespace balsamwheel::daemon
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -18,7 +18,7 @@
   return std::chrono::duration<double>(Value).count();
 }
 
-const char *nameOf(OrderEnd End) {
+const char *labelOf(OrderEnd End) {
   switch (End) {
   case OrderEnd::Answered:
     return "answered";
@@ -108,7 +108,7 @@
        {OrderEnd::Answered, OrderEnd::Shed, OrderEnd::NotSent, OrderEnd::Failed,
         OrderEnd::Aborted})
     m_Orders.at(static_cast<std::size_t>(End)) =
-        &m_OrderFamily.Add({{"end", nameOf(End)}});
+        &m_OrderFamily.Add({{"end", labelOf(End)}});
 }
 
 prometheus::Counter &Metrics::addCounter(const char *Name, const char *Help) {
@@ -137,8 +137,8 @@
   return Series;
 }
 
-void Metrics::requestDone(const ServiceName &Service, const ClassName &Class,
-                          Outcome Result, Reason Why, Duration Latency) {
+void Metrics::recordRequest(const ServiceName &Service, const ClassName &Class,
+                            Outcome Result, Reason Why, Duration Latency) {
   ClassSeries &Series = seriesOf(Service, Class);
   Series.m_Latency->Observe(toSeconds(Latency));
   prometheus::Counter *&Count = Series.m_Outcomes[{Result, Why}];
@@ -150,16 +150,16 @@
   Count->Increment();
 }
 
-void Metrics::requestRefused(Reason Why) {
+void Metrics::recordRefusal(Reason Why) {
   m_RefusedFamily.Add({{"reason", std::string(toString(Why))}}).Increment();
 }
 
-void Metrics::orderEnded(OrderEnd End, Duration Latency) {
+void Metrics::recordOrderEnd(OrderEnd End, Duration Latency) {
   m_Orders.at(static_cast<std::size_t>(End))->Increment();
   m_OrderLatency.Observe(toSeconds(Latency));
 }
 
-void Metrics::targetLoad(double Load, bool Healthy) {
+void Metrics::setTargetLoad(double Load, bool Healthy) {
   m_TargetLoad.Set(Load);
   m_TargetHealthy.Set(Healthy ? 1 : 0);
 }
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -24,20 +24,20 @@
   prometheus::Counter *m_Bytes = nullptr;
 };
 
-/// Thread-safe, but for the caches of the core thread: requestDone() and
+/// Thread-safe, but for the caches of the core thread: recordRequest() and
 /// update() belong to it.
 class Metrics {
 public:
   Metrics();
 
   /// A caller got its answer. Complexity: logarithmic in the series.
-  void requestDone(const ServiceName &Service, const ClassName &Class,
-                   Outcome Result, Reason Why, Duration Latency);
+  void recordRequest(const ServiceName &Service, const ClassName &Class,
+                     Outcome Result, Reason Why, Duration Latency);
   /// A request was refused before it reached the core.
-  void requestRefused(Reason Why);
+  void recordRefusal(Reason Why);
   /// An order ended at the target.
-  void orderEnded(OrderEnd End, Duration Latency);
-  void targetLoad(double Load, bool Healthy);
+  void recordOrderEnd(OrderEnd End, Duration Latency);
+  void setTargetLoad(double Load, bool Healthy);
   void update(const NodeStatus &Status, std::size_t InboxSize,
               std::size_t BodyPipes, TimePoint Now);
   prometheus::Counter &controlMessages() { return m_ControlMessages; }
--- a/src/daemon/peer_gate.cpp
+++ b/src/daemon/peer_gate.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// An unknown length travels as 0.
-std::optional<std::uint64_t> knownLength(std::uint64_t Length) {
+std::optional<std::uint64_t> lengthFromWire(std::uint64_t Length) {
   if (Length == 0)
     return std::nullopt;
   return Length;
@@ -24,7 +24,7 @@
          runtime::bodyHash(Answer.m_Body) == Answer.m_BodyHash;
 }
 
-PeerHandlers PeerGate::handlers() {
+PeerHandlers PeerReceiver::handlers() {
   return {.m_OnMessage =
               [this](const PeerAddress &From, PeerMessage Message) {
                 onMessage(From, std::move(Message));
@@ -36,21 +36,22 @@
               }};
 }
 
-void PeerGate::onMessage(const PeerAddress &From, PeerMessage Message) {
+void PeerReceiver::onMessage(const PeerAddress &From, PeerMessage Message) {
   if (auto *Control = std::get_if<ControlMessage>(&Message))
-    postOrDrop(ControlArrived{From, std::move(*Control)});
+    postOrDrop(ControlReceived{From, std::move(*Control)});
   else if (auto *Request = std::get_if<RequestMessage>(&Message))
     onRequest(From, std::move(*Request));
   else
     m_Bodies.onMessage(From, std::get<BodyMessage>(std::move(Message)));
 }
 
-void PeerGate::onRequest(const PeerAddress &From, RequestMessage Message) {
+void PeerReceiver::onRequest(const PeerAddress &From, RequestMessage Message) {
   if (auto *Forward = std::get_if<ForwardRequest>(&Message)) {
     HttpRequest &Http = Forward->m_Http;
     if (Http.m_BodyStream != 0)
-      Http.m_BodyStream = m_Bodies.adopt(From, Http.m_BodyStream, Http.m_Body,
-                                         knownLength(Http.m_BodyLength));
+      Http.m_BodyStream =
+          m_Bodies.openRemote(From, Http.m_BodyStream, Http.m_Body,
+                              lengthFromWire(Http.m_BodyLength));
   } else if (auto *Reply = std::get_if<ForwardReply>(&Message)) {
     if (!isIntact(*Reply)) {
       m_Shared.m_Metrics.damagedAnswers().Increment();
@@ -59,13 +60,14 @@
     }
     HttpAnswer &Http = Reply->m_Http;
     if (Http.m_BodyStream != 0)
-      Http.m_BodyStream = m_Bodies.adopt(From, Http.m_BodyStream, Http.m_Body,
-                                         knownLength(Http.m_BodyLength));
+      Http.m_BodyStream =
+          m_Bodies.openRemote(From, Http.m_BodyStream, Http.m_Body,
+                              lengthFromWire(Http.m_BodyLength));
   }
-  postOrDrop(RequestArrived{From, std::move(Message)});
+  postOrDrop(PeerRequestReceived{From, std::move(Message)});
 }
 
-void PeerGate::postOrDrop(Event Item) {
+void PeerReceiver::postOrDrop(Event Item) {
   if (!m_Shared.m_Inbox.tryPost(Item))
     m_Shared.m_Metrics.droppedEvents().Increment();
 }
--- a/src/daemon/peer_gate.h
+++ b/src/daemon/peer_gate.h
@@ -8,9 +8,9 @@
 namespace balsamwheel::daemon {
 
 /// Bodies bypass the core; names of bodies become local on the way in.
-class PeerGate {
+class PeerReceiver {
 public:
-  PeerGate(CoreShared &Shared, BodyStreams &Bodies)
+  PeerReceiver(CoreShared &Shared, BodyStreams &Bodies)
       : m_Shared(Shared), m_Bodies(Bodies) {}
 
   PeerHandlers handlers();
--- a/src/daemon/section_reader.cpp
+++ b/src/daemon/section_reader.cpp
@@ -14,7 +14,7 @@
   }
 }
 
-std::string SectionReader::pathOf(const std::string &Name) const {
+std::string SectionReader::fieldPath(const std::string &Name) const {
   return m_Path.empty() ? Name : m_Path + "." + Name;
 }
 
@@ -27,7 +27,7 @@
 }
 
 YAML::Node SectionReader::find(const char *Name) {
-  m_Asked.insert(Name);
+  m_ReadFields.insert(Name);
   for (const auto &Item : m_Section)
     if (Item.first.IsScalar() && Item.first.Scalar() == Name)
       return Item.second;
@@ -40,16 +40,16 @@
   const YAML::Node Value = find(Name);
   if (!Value.IsDefined()) {
     if (Required)
-      report(m_Section.Mark(), pathOf(Name), "is missing");
+      report(m_Section.Mark(), fieldPath(Name), "is missing");
     return;
   }
   if (!Value.IsScalar() || Value.Scalar().empty()) {
-    report(Value.Mark(), pathOf(Name), "must be a text that is not empty");
+    report(Value.Mark(), fieldPath(Name), "must be a text that is not empty");
     return;
   }
-  const std::string Fault = Check ? Check(Value.Scalar()) : std::string();
-  if (!Fault.empty()) {
-    report(Value.Mark(), pathOf(Name), Fault);
+  const std::string Message = Check ? Check(Value.Scalar()) : std::string();
+  if (!Message.empty()) {
+    report(Value.Mark(), fieldPath(Name), Message);
     return;
   }
   Target = Value.Scalar();
@@ -60,44 +60,44 @@
   if (!Value.IsDefined())
     return;
   if (!YAML::convert<bool>::decode(Value, Target))
-    report(Value.Mark(), pathOf(Name), "must be true or false");
+    report(Value.Mark(), fieldPath(Name), "must be true or false");
 }
 
-void SectionReader::real(const char *Name, double &Target, double Least,
-                         double Most) {
+void SectionReader::real(const char *Name, double &Target, double Min,
+                         double Max) {
   const YAML::Node Value = find(Name);
   if (!Value.IsDefined())
     return;
   double Number = 0;
-  if (YAML::convert<double>::decode(Value, Number) && Number >= Least &&
-      Number <= Most) {
+  if (YAML::convert<double>::decode(Value, Number) && Number >= Min &&
+      Number <= Max) {
     Target = Number;
     return;
   }
-  report(Value.Mark(), pathOf(Name),
-         "must be a number from " + std::to_string(Least) + " to " +
-             std::to_string(Most));
+  report(Value.Mark(), fieldPath(Name),
+         "must be a number from " + std::to_string(Min) + " to " +
+             std::to_string(Max));
 }
 
 std::optional<std::int64_t> SectionReader::readInteger(const char *Name,
-                                                       std::int64_t Least,
-                                                       std::int64_t Most) {
+                                                       std::int64_t Min,
+                                                       std::int64_t Max) {
   const YAML::Node Value = find(Name);
   if (!Value.IsDefined())
     return std::nullopt;
   std::int64_t Number = 0;
-  if (YAML::convert<std::int64_t>::decode(Value, Number) && Number >= Least &&
-      Number <= Most)
+  if (YAML::convert<std::int64_t>::decode(Value, Number) && Number >= Min &&
+      Number <= Max)
     return Number;
-  report(Value.Mark(), pathOf(Name),
-         "must be a whole number from " + std::to_string(Least) + " to " +
-             std::to_string(Most));
+  report(Value.Mark(), fieldPath(Name),
+         "must be a whole number from " + std::to_string(Min) + " to " +
+             std::to_string(Max));
   return std::nullopt;
 }
 
 void SectionReader::milliseconds(const char *Name, Duration &Target,
-                                 std::int64_t Least, std::int64_t Most) {
-  if (const auto Value = readInteger(Name, Least, Most))
+                                 std::int64_t Min, std::int64_t Max) {
+  if (const auto Value = readInteger(Name, Min, Max))
     Target = std::chrono::milliseconds(*Value);
 }
 
@@ -106,7 +106,7 @@
   const YAML::Node Value = find(Name);
   SectionReader Inner(
       m_Context, Value.IsDefined() ? Value : YAML::Node(YAML::NodeType::Map),
-      pathOf(Name));
+      fieldPath(Name));
   Read(Inner);
   Inner.finish();
 }
@@ -116,10 +116,10 @@
   for (const auto &Item : m_Section) {
     const std::string Name =
         Item.first.IsScalar() ? Item.first.Scalar() : std::string("?");
-    if (!m_Asked.contains(Name))
-      report(Item.first.Mark(), pathOf(Name), "is no known field");
+    if (!m_ReadFields.contains(Name))
+      report(Item.first.Mark(), fieldPath(Name), "is no known field");
     else if (!Seen.insert(Name).second)
-      report(Item.first.Mark(), pathOf(Name), "is given twice");
+      report(Item.first.Mark(), fieldPath(Name), "is given twice");
   }
 }
 
--- a/src/daemon/section_reader.h
+++ b/src/daemon/section_reader.h
@@ -33,34 +33,34 @@
   void text(const char *Name, std::string &Target, bool Required = false,
             const std::function<std::string(const std::string &)> &Check = {});
   void flag(const char *Name, bool &Target);
-  void real(const char *Name, double &Target, double Least, double Most);
-  void milliseconds(const char *Name, Duration &Target, std::int64_t Least,
-                    std::int64_t Most);
+  void real(const char *Name, double &Target, double Min, double Max);
+  void milliseconds(const char *Name, Duration &Target, std::int64_t Min,
+                    std::int64_t Max);
 
   template <typename Number>
-  void integer(const char *Name, Number &Target, std::int64_t Least,
-               std::int64_t Most) {
-    if (const auto Value = readInteger(Name, Least, Most))
+  void integer(const char *Name, Number &Target, std::int64_t Min,
+               std::int64_t Max) {
+    if (const auto Value = readInteger(Name, Min, Max))
       Target = static_cast<Number>(*Value);
   }
 
   /// Reads one of several words.
   template <typename Value>
   void choice(const char *Name, Value &Target,
-              const std::vector<std::pair<std::string, Value>> &Words) {
+              const std::vector<std::pair<std::string, Value>> &Choices) {
     std::string Text;
-    std::string Known;
-    for (const auto &[Word, Meaning] : Words)
-      Known += (Known.empty() ? "" : ", ") + Word;
+    std::string Allowed;
+    for (const auto &[Choice, Mapped] : Choices)
+      Allowed += (Allowed.empty() ? "" : ", ") + Choice;
     text(Name, Text, false, [&](const std::string &Given) -> std::string {
-      for (const auto &[Word, Meaning] : Words)
-        if (Word == Given)
+      for (const auto &[Choice, Mapped] : Choices)
+        if (Choice == Given)
           return {};
-      return "must be one of " + Known;
+      return "must be one of " + Allowed;
     });
-    for (const auto &[Word, Meaning] : Words)
-      if (Word == Text)
-        Target = Meaning;
+    for (const auto &[Choice, Mapped] : Choices)
+      if (Choice == Text)
+        Target = Mapped;
   }
 
   /// Reads a nested mapping; absent means all defaults.
@@ -70,16 +70,16 @@
 
 private:
   YAML::Node find(const char *Name);
-  std::optional<std::int64_t> readInteger(const char *Name, std::int64_t Least,
-                                          std::int64_t Most);
-  std::string pathOf(const std::string &Name) const;
+  std::optional<std::int64_t> readInteger(const char *Name, std::int64_t Min,
+                                          std::int64_t Max);
+  std::string fieldPath(const std::string &Name) const;
   void report(const YAML::Mark &Mark, const std::string &Field,
               std::string Reason);
 
   ReadContext &m_Context;
   YAML::Node m_Section;
   std::string m_Path;
-  std::set<std::string> m_Asked;
+  std::set<std::string> m_ReadFields;
 };
 
 } // namespace balsamwheel::daemon
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -124,16 +124,20 @@
   In.text("target_address", Out.m_TargetListen, true, checkAddress);
   In.text("admin_address", Out.m_AdminListen, true, checkAddress);
   readPlatform(In, Out);
-  In.section("log", [&](SectionReader &S) { readLog(S, Out); });
-  In.section("limits", [&](SectionReader &S) { readLimits(S, Out); });
+  In.section("log", [&](SectionReader &Section) { readLog(Section, Out); });
+  In.section("limits",
+             [&](SectionReader &Section) { readLimits(Section, Out); });
   NodeOptions &Node = Out.m_Node;
-  In.section("coordination", [&](SectionReader &S) {
-    readCoordination(S, Node.m_Coordinator);
+  In.section("coordination", [&](SectionReader &Section) {
+    readCoordination(Section, Node.m_Coordinator);
   });
-  In.section("admission",
-             [&](SectionReader &S) { readAdmission(S, Node.m_Admission); });
-  In.section("policy", [&](SectionReader &S) { readPolicy(S, Node); });
-  In.section("retry", [&](SectionReader &S) { readRetry(S, Node.m_Retry); });
+  In.section("admission", [&](SectionReader &Section) {
+    readAdmission(Section, Node.m_Admission);
+  });
+  In.section("policy",
+             [&](SectionReader &Section) { readPolicy(Section, Node); });
+  In.section("retry",
+             [&](SectionReader &Section) { readRetry(Section, Node.m_Retry); });
   In.finish();
   Node.m_Coordinator.m_Instance = Out.m_Instance;
   Node.m_Coordinator.m_Domain = Out.m_Domain;
@@ -145,19 +149,19 @@
 }
 
 /// Faults that concern several fields at once.
-void checkTogether(const Settings &Given, ReadContext &Context) {
+void checkFieldRelations(const Settings &Given, ReadContext &Context) {
   const CoordinationTiming &Timing = Given.m_Node.m_Coordinator.m_Timing;
-  const auto Complain = [&Context](const char *Field, const char *Reason) {
+  const auto AddError = [&Context](const char *Field, const char *Reason) {
     Context.m_Errors.push_back({.m_File = Context.m_File,
                                 .m_Line = 1,
                                 .m_Field = Field,
                                 .m_Reason = Reason});
   };
   if (Timing.m_Lease < 2 * Timing.m_HeartbeatPeriod)
-    Complain("coordination.lease_ms",
+    AddError("coordination.lease_ms",
              "must be at least twice coordination.heartbeat_ms");
   if (Timing.m_OrderMargin >= Timing.m_Lease)
-    Complain("coordination.order_margin_ms",
+    AddError("coordination.order_margin_ms",
              "must be less than coordination.lease_ms");
 }
 
@@ -174,7 +178,7 @@
   try {
     SectionReader Reader(Context, YAML::Load(Text), "");
     Settings Result = readAll(Reader);
-    checkTogether(Result, Context);
+    checkFieldRelations(Result, Context);
     if (Context.m_Errors.empty())
       return Result;
   } catch (const YAML::Exception &Error) {
--- a/src/daemon/status_json.cpp
+++ b/src/daemon/status_json.cpp
@@ -26,11 +26,12 @@
 }
 
 Json coordinatorJson(const CoordinatorStatus &Value, TimePoint Now) {
-  const auto Left = Value.m_LeaseHeld ? Value.m_LeaseEnd - Now : Duration(0);
+  const auto Remaining =
+      Value.m_LeaseHeld ? Value.m_LeaseEnd - Now : Duration(0);
   return {{"session", sessionJson(Value.m_Session)},
           {"lease_held", Value.m_LeaseHeld},
           {"lease_extended", Value.m_LeaseExtended},
-          {"lease_left_ms", Left.count() / 1000},
+          {"lease_left_ms", Remaining.count() / 1000},
           {"config_version", Value.m_Config.value()},
           {"map_version", Value.m_MapVersion},
           {"group", Value.m_Group},
@@ -41,24 +42,24 @@
 }
 
 /// Why a route looks as it does.
-const char *explain(const Route &Way, const Member *Owner) {
-  if (Way.m_Owner == SessionId())
+const char *routeReason(const Route &Found, const Member *Owner) {
+  if (Found.m_Owner == SessionId())
     return "no owner is known";
-  if (Way.m_Local)
+  if (Found.m_Local)
     return "this instance owns the shard";
   if (Owner == nullptr)
     return "the owner is no longer a member";
   return Owner->m_Leaving ? "the owner is leaving" : "the map names this owner";
 }
 
-Json routeFields(const Node &Subject, const Route &Way) {
-  const Member *Owner = Subject.coordinator().findMember(Way.m_Owner);
-  return {{"shard", Way.m_Shard.m_Shard.value()},
-          {"epoch", Way.m_Epoch.value()},
-          {"session", sessionJson(Way.m_Owner)},
+Json routeFields(const Node &Subject, const Route &Found) {
+  const Member *Owner = Subject.coordinator().findMember(Found.m_Owner);
+  return {{"shard", Found.m_Shard.m_Shard.value()},
+          {"epoch", Found.m_Epoch.value()},
+          {"session", sessionJson(Found.m_Owner)},
           {"instance", Owner ? Owner->m_Instance.value() : std::string()},
-          {"address", Way.m_CallerAddress},
-          {"reason", explain(Way, Owner)}};
+          {"address", Found.m_CallerAddress},
+          {"reason", routeReason(Found, Owner)}};
 }
 
 const Service *findService(const Node &Subject, const ServiceName &Name) {
--- a/src/manifest/diff.cpp
+++ b/src/manifest/diff.cpp
@@ -30,22 +30,23 @@
 }
 
 /// Collects the leaves of a document by path; items of lists by their name.
-void flatten(const Json &Value, const std::string &Path, Fields &Into) {
+void flatten(const Json &Value, const std::string &Path, Fields &Output) {
   if (Value.is_object()) {
     for (const auto &[Key, Item] : Value.items())
-      flatten(Item, childPath(Path, Key), Into);
+      flatten(Item, childPath(Path, Key), Output);
   } else if (isNamedList(Value)) {
     for (const Json &Item : Value)
-      flatten(Item, childPath(Path, Item.at("name").get<std::string>()), Into);
+      flatten(Item, childPath(Path, Item.at("name").get<std::string>()),
+              Output);
   } else {
-    Into[Path] = Value.dump();
+    Output[Path] = Value.dump();
   }
 }
 
 Fields fieldsOf(const Manifest &Value) {
-  Config Holder;
-  Holder.m_Manifest = Value;
-  Json Document = toDocument(Holder);
+  Config Wrapper;
+  Wrapper.m_Manifest = Value;
+  Json Document = toDocument(Wrapper);
   for (const char *Key : {"version", "domains_out", "draining"})
     Document.erase(Key);
   Fields Result;
--- a/src/manifest/reader.cpp
+++ b/src/manifest/reader.cpp
@@ -17,10 +17,10 @@
 constexpr std::uint64_t MaxConnections = 100'000;
 constexpr std::uint64_t MaxQueue = 1'000'000;
 constexpr std::uint64_t MaxBodyBytes = 1UL << 40U;
-constexpr Duration LeastDeadline = std::chrono::milliseconds(1);
-constexpr Duration MostDeadline = std::chrono::minutes(10);
+constexpr Duration MinDeadline = std::chrono::milliseconds(1);
+constexpr Duration MaxDeadline = std::chrono::minutes(10);
 /// An order for a key must end within the lease of its owner.
-constexpr Duration MostKeyedDeadline = std::chrono::milliseconds(1500);
+constexpr Duration MaxKeyedDeadline = std::chrono::milliseconds(1500);
 constexpr std::size_t MaxNameLength = 64;
 
 const std::vector<std::string> UrgencyNames{"urgent", "interactive", "bulk"};
@@ -74,9 +74,9 @@
   if (const auto Level = Map.choice("urgency", UrgencyNames))
     Result.m_Urgency = static_cast<Urgency>(*Level);
   Result.m_Idempotent = Map.flag("idempotent").value_or(true);
-  const Duration Most = Keyed ? MostKeyedDeadline : MostDeadline;
+  const Duration Max = Keyed ? MaxKeyedDeadline : MaxDeadline;
   Result.m_Deadline =
-      Map.duration("deadline", LeastDeadline, Most).value_or(Result.m_Deadline);
+      Map.duration("deadline", MinDeadline, Max).value_or(Result.m_Deadline);
   Result.m_Match = Map.texts("match");
   for (const std::string &Pattern : Result.m_Match) {
     checkPattern(Map, Pattern);
@@ -87,7 +87,7 @@
   return Result;
 }
 
-void readDivision(YamlMap &Map, Service &Result) {
+void readSharding(YamlMap &Map, Service &Result) {
   Result.m_DividedByKey = Map.flag("divided_by_key").value_or(false);
   const auto Shards = Map.number("shards", {1, MaxShards});
   if (Result.m_DividedByKey && !Map.has("shards"))
@@ -101,9 +101,9 @@
   auto Limits = Map.map("limits");
   if (!Limits)
     return;
-  const auto Read = [&](const char *Key, std::uint64_t Most, auto &Value) {
+  const auto Read = [&](const char *Key, std::uint64_t Max, auto &Value) {
     using Number = std::remove_reference_t<decltype(Value)>;
-    if (const auto Given = Limits->number(Key, {1, Most}))
+    if (const auto Given = Limits->number(Key, {1, Max}))
       Value = static_cast<Number>(*Given);
   };
   Read("slots", MaxSlots, Result.m_Slots);
@@ -119,7 +119,7 @@
   Service Result;
   Result.m_Name = ServiceName(readName(Map, "name"));
   checkUnique(Map, Result.m_Name.value(), Seen);
-  readDivision(Map, Result);
+  readSharding(Map, Result);
   Result.m_ChecksFences = Map.choice("fences", FenceNames).value_or(0) == 1;
   readLimits(Map, Result);
   std::set<std::string> Classes;
--- a/src/manifest/yaml_fields.cpp
+++ b/src/manifest/yaml_fields.cpp
@@ -24,8 +24,8 @@
 constexpr std::int64_t MaxDurationNumber = 1'000'000'000;
 
 std::string inRange(Range Allowed) {
-  return "must be a whole number from " + std::to_string(Allowed.m_Least) +
-         " to " + std::to_string(Allowed.m_Most);
+  return "must be a whole number from " + std::to_string(Allowed.m_Min) +
+         " to " + std::to_string(Allowed.m_Max);
 }
 
 std::optional<std::uint64_t> parseNumber(const std::string &Text) {
@@ -89,7 +89,7 @@
 }
 
 YAML::Node YamlMap::find(const std::string &Key) {
-  m_Asked.insert(Key);
+  m_ReadKeys.insert(Key);
   if (!has(Key))
     return YAML::Node(YAML::NodeType::Undefined);
   return m_Node[Key];
@@ -113,7 +113,7 @@
 
 std::string YamlMap::requiredText(const std::string &Key) {
   if (!has(Key)) {
-    m_Asked.insert(Key);
+    m_ReadKeys.insert(Key);
     problem(Key, "is missing");
     return {};
   }
@@ -127,7 +127,7 @@
     return std::nullopt;
   const std::optional<std::uint64_t> Parsed =
       Value.IsScalar() ? parseNumber(Value.Scalar()) : std::nullopt;
-  if (!Parsed || *Parsed < Allowed.m_Least || *Parsed > Allowed.m_Most) {
+  if (!Parsed || *Parsed < Allowed.m_Min || *Parsed > Allowed.m_Max) {
     problem(Key, inRange(Allowed));
     return std::nullopt;
   }
@@ -146,8 +146,8 @@
   return std::nullopt;
 }
 
-std::optional<Duration> YamlMap::duration(const std::string &Key,
-                                          Duration Least, Duration Most) {
+std::optional<Duration> YamlMap::duration(const std::string &Key, Duration Min,
+                                          Duration Max) {
   const YAML::Node Value = find(Key);
   if (!Value.IsDefined())
     return std::nullopt;
@@ -157,9 +157,9 @@
     problem(Key, "must be a duration such as 250ms, 2s or 1m");
     return std::nullopt;
   }
-  if (*Parsed < Least || *Parsed > Most) {
-    problem(Key, "must be from " + std::to_string(Least.count()) + "us to " +
-                     std::to_string(Most.count()) + "us");
+  if (*Parsed < Min || *Parsed > Max) {
+    problem(Key, "must be from " + std::to_string(Min.count()) + "us to " +
+                     std::to_string(Max.count()) + "us");
     return std::nullopt;
   }
   return Parsed;
@@ -233,7 +233,7 @@
         Entry.first.IsScalar() ? Entry.first.Scalar() : "(not a text)";
     if (!Seen.insert(Key).second)
       m_Log->add(Entry.first, path(Key), "is given twice");
-    else if (!m_Asked.contains(Key))
+    else if (!m_ReadKeys.contains(Key))
       m_Log->add(Entry.first, path(Key), "is not a known field");
   }
 }
--- a/tests/unit-body-streams.cpp
+++ b/tests/unit-body-streams.cpp
@@ -18,20 +18,20 @@
 const PeerAddress Entrance("entrance");
 
 /// Two daemons joined by a queue of messages that the test delivers.
-struct Pair {
-  struct Letter {
+struct DaemonPair {
+  struct QueuedMessage {
     PeerAddress m_From;
     BodyMessage m_Message;
   };
 
   /// Delivers everything that is on the way.
   void deliver() {
-    while (!m_Way.empty()) {
-      Letter Next = std::move(m_Way.front());
-      m_Way.pop_front();
+    while (!m_InTransit.empty()) {
+      QueuedMessage Next = std::move(m_InTransit.front());
+      m_InTransit.pop_front();
       if (auto *Chunk = std::get_if<BodyChunk>(&Next.m_Message);
-          Chunk && m_Edit)
-        m_Edit(*Chunk);
+          Chunk && m_EditChunk)
+        m_EditChunk(*Chunk);
       BodyStreams &To = Next.m_From == Owner ? m_Entrance : m_Owner;
       To.onMessage(Next.m_From, std::move(Next.m_Message));
     }
@@ -39,31 +39,31 @@
 
   BodyStreams::Send sendFrom(const PeerAddress &From) {
     return [this, From](const PeerAddress &, PeerMessage Message) {
-      m_Way.push_back({From, std::get<BodyMessage>(std::move(Message))});
+      m_InTransit.push_back({From, std::get<BodyMessage>(std::move(Message))});
     };
   }
 
-  std::deque<Letter> m_Way;
-  std::function<void(BodyChunk &)> m_Edit;
+  std::deque<QueuedMessage> m_InTransit;
+  std::function<void(BodyChunk &)> m_EditChunk;
   BodyStreams m_Owner{sendFrom(Owner), 100};
   BodyStreams m_Entrance{sendFrom(Entrance), 500};
 };
 
 /// What arrived of a body.
-struct Transport {
+struct TransferResult {
   std::string m_Received;
   PipeState m_End = PipeState::Open;
 };
 
 /// Moves a body from the owner to the entrance.
-Transport carry(Pair &Daemons, const std::string &Body, std::size_t PrefixSize,
-                std::size_t ReadSize) {
+TransferResult transferBody(DaemonPair &Daemons, const std::string &Body,
+                            std::size_t PrefixSize, std::size_t ReadSize) {
   const std::string Prefix = Body.substr(0, PrefixSize);
-  const BodyPipePtr Source = Daemons.m_Owner.make(Prefix, Body.size());
+  const BodyPipePtr Source = Daemons.m_Owner.create(Prefix, Body.size());
   const std::uint64_t Local =
-      Daemons.m_Entrance.adopt(Owner, Source->id(), Prefix, Body.size());
+      Daemons.m_Entrance.openRemote(Owner, Source->id(), Prefix, Body.size());
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(Local);
-  Transport Result{.m_Received = Prefix};
+  TransferResult Result{.m_Received = Prefix};
   std::size_t Written = Prefix.size();
   bool Finished = false;
   while (Sink->state() == PipeState::Open) {
@@ -91,18 +91,18 @@
     std::string Body(Size, 'a');
     for (std::size_t I = 0; I < Size; I += 997)
       Body[I] = static_cast<char>('a' + I % 26);
-    Pair Daemons;
-    const Transport Result = carry(Daemons, Body, Prefix, ReadSize);
+    DaemonPair Daemons;
+    const TransferResult Result = transferBody(Daemons, Body, Prefix, ReadSize);
     RC_ASSERT(Result.m_End == PipeState::Ended);
     RC_ASSERT(Result.m_Received == Body);
   }));
 }
 
 TEST_CASE("a sender stops when the receiver's credit is spent") {
-  Pair Daemons;
-  const BodyPipePtr Source = Daemons.m_Owner.make("", std::nullopt);
+  DaemonPair Daemons;
+  const BodyPipePtr Source = Daemons.m_Owner.create("", std::nullopt);
   const std::uint64_t Local =
-      Daemons.m_Entrance.adopt(Owner, Source->id(), "", std::nullopt);
+      Daemons.m_Entrance.openRemote(Owner, Source->id(), "", std::nullopt);
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(Local);
   std::size_t Written = 0;
   const std::string Part(40'000, 'x');
@@ -122,27 +122,27 @@
 }
 
 TEST_CASE("damage on the way is noticed") {
-  for (const bool Lose : {false, true}) {
-    Pair Daemons;
+  for (const bool Truncate : {false, true}) {
+    DaemonPair Daemons;
     int Count = 0;
-    Daemons.m_Edit = [&Count, Lose](BodyChunk &Chunk) {
+    Daemons.m_EditChunk = [&Count, Truncate](BodyChunk &Chunk) {
       if (++Count != 2)
         return;
-      if (Lose)
+      if (Truncate)
         Chunk.m_Bytes.pop_back();
       else
         Chunk.m_Bytes.front() ^= 1;
     };
-    CHECK(carry(Daemons, std::string(500'000, 'b'), 10, 100'000).m_End ==
+    CHECK(transferBody(Daemons, std::string(500'000, 'b'), 10, 100'000).m_End ==
           PipeState::Failed);
   }
 }
 
 TEST_CASE("a lost connection fails the bodies under way on both sides") {
-  Pair Daemons;
-  const BodyPipePtr Source = Daemons.m_Owner.make("", 1'000'000);
+  DaemonPair Daemons;
+  const BodyPipePtr Source = Daemons.m_Owner.create("", 1'000'000);
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(
-      Daemons.m_Entrance.adopt(Owner, Source->id(), "", 1'000'000));
+      Daemons.m_Entrance.openRemote(Owner, Source->id(), "", 1'000'000));
   Source->tryWrite("abc");
   Daemons.deliver();
   Daemons.m_Entrance.onPeerLost(Owner);
@@ -152,10 +152,10 @@
 }
 
 TEST_CASE("a reader that gives up stops the sender") {
-  Pair Daemons;
-  const BodyPipePtr Source = Daemons.m_Owner.make("", std::nullopt);
+  DaemonPair Daemons;
+  const BodyPipePtr Source = Daemons.m_Owner.create("", std::nullopt);
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(
-      Daemons.m_Entrance.adopt(Owner, Source->id(), "", std::nullopt));
+      Daemons.m_Entrance.openRemote(Owner, Source->id(), "", std::nullopt));
   Daemons.deliver();
   Sink->abandon();
   Daemons.deliver();
@@ -163,17 +163,17 @@
 }
 
 TEST_CASE("an unknown body is refused") {
-  Pair Daemons;
+  DaemonPair Daemons;
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(
-      Daemons.m_Entrance.adopt(Owner, 12345, "", std::nullopt));
+      Daemons.m_Entrance.openRemote(Owner, 12345, "", std::nullopt));
   Daemons.deliver();
   CHECK(Sink->state() == PipeState::Failed);
   CHECK(Daemons.m_Entrance.claim(999) == nullptr);
 }
 
 TEST_CASE("pipes that nobody reads expire, ended ones are forgotten") {
-  Pair Daemons;
-  const BodyPipePtr Unread = Daemons.m_Owner.make("", std::nullopt);
+  DaemonPair Daemons;
+  const BodyPipePtr Unread = Daemons.m_Owner.create("", std::nullopt);
   Daemons.m_Owner.expire(runtime::bootNow());
   CHECK(Unread->state() == PipeState::Open);
   Daemons.m_Owner.expire(runtime::bootNow() + std::chrono::minutes(1));
--- a/tests/unit-cli.cpp
+++ b/tests/unit-cli.cpp
@@ -26,9 +26,9 @@
 };
 
 /// A platform and the command line pointed at it.
-class Rig {
+class CliFixture {
 public:
-  Rig() : m_Platform({}) {}
+  CliFixture() : m_Platform({}) {}
 
   Output run(std::vector<std::string> Arguments) {
     Arguments.insert(Arguments.begin(),
@@ -75,12 +75,12 @@
   const std::string m_Path = "unit-cli-manifest.yaml";
 };
 
-int codeOf(CliError Error) { return static_cast<int>(Error); }
+int exitCodeOf(CliError Error) { return static_cast<int>(Error); }
 
 } // namespace
 
 TEST_CASE("a manifest is committed against its base and shown") {
-  Rig Subject;
+  CliFixture Subject;
   const ManifestFile File("4");
   const Output Committed =
       Subject.run({"manifest", "commit", File.m_Path, "--base", "0"});
@@ -94,34 +94,34 @@
 }
 
 TEST_CASE("a commit against an old base is a conflict that changes nothing") {
-  Rig Subject;
+  CliFixture Subject;
   const ManifestFile File("4");
   REQUIRE(
       Subject.run({"manifest", "commit", File.m_Path, "--base", "0"}).m_Code ==
       0);
   const Output Second =
       Subject.run({"manifest", "commit", File.m_Path, "--base", "0"});
-  CHECK(Second.m_Code == codeOf(CliError::Conflict));
+  CHECK(Second.m_Code == exitCodeOf(CliError::Conflict));
   CHECK(Second.m_Err.find("nothing was changed") != std::string::npos);
   const Output Status = Subject.run({"--json", "status"});
   CHECK(nlohmann::json::parse(Status.m_Out).at("version") == 1);
 }
 
 TEST_CASE("of two operators at the same time one wins") {
-  Rig Subject;
+  CliFixture Subject;
   const ManifestFile File("4");
-  const auto Race = [&] {
+  const auto CommitOnEmptyBase = [&] {
     return Subject.run({"manifest", "commit", File.m_Path, "--base", "0"})
         .m_Code;
   };
-  auto First = std::async(std::launch::async, Race);
-  auto Second = std::async(std::launch::async, Race);
+  auto First = std::async(std::launch::async, CommitOnEmptyBase);
+  auto Second = std::async(std::launch::async, CommitOnEmptyBase);
   const int Codes = First.get() + Second.get();
-  CHECK(Codes == codeOf(CliError::Conflict));
+  CHECK(Codes == exitCodeOf(CliError::Conflict));
 }
 
 TEST_CASE("failure domains go out and in by new versions") {
-  Rig Subject;
+  CliFixture Subject;
   const ManifestFile File("4");
   REQUIRE(
       Subject.run({"manifest", "commit", File.m_Path, "--base", "0"}).m_Code ==
@@ -133,11 +133,11 @@
         std::string::npos);
   CHECK(Subject.run({"domain", "in", "a"}).m_Code == 0);
   CHECK(Subject.run({"domain", "out", "nowhere"}).m_Code ==
-        codeOf(CliError::InvalidInput));
+        exitCodeOf(CliError::InvalidInput));
 }
 
 TEST_CASE("the number of shards cannot be changed under way") {
-  Rig Subject;
+  CliFixture Subject;
   const ManifestFile File("4");
   REQUIRE(
       Subject.run({"manifest", "commit", File.m_Path, "--base", "0"}).m_Code ==
@@ -152,21 +152,21 @@
   }
   CHECK(
       Subject.run({"manifest", "commit", File.m_Path, "--base", "1"}).m_Code ==
-      codeOf(CliError::InvalidInput));
+      exitCodeOf(CliError::InvalidInput));
 }
 
 TEST_CASE("a table that is down changes nothing and says so") {
-  Rig Subject;
+  CliFixture Subject;
   const ManifestFile File("4");
   Subject.setFault(R"({"mode":"down"})");
   const Output Result =
       Subject.run({"manifest", "commit", File.m_Path, "--base", "0"});
-  CHECK(Result.m_Code == codeOf(CliError::Unreachable));
+  CHECK(Result.m_Code == exitCodeOf(CliError::Unreachable));
   CHECK(Result.m_Err.find("nothing was changed") != std::string::npos);
 }
 
 TEST_CASE("a commit whose answer was lost is recognised as made") {
-  Rig Subject;
+  CliFixture Subject;
   TableSession Table(Subject.address(), std::chrono::milliseconds(5000));
   const RowKey Marker("marker");
   const Transaction Commit{.m_Id = WriteId(42),
@@ -184,17 +184,17 @@
 }
 
 TEST_CASE("wrong usage is told apart from failures") {
-  Rig Subject;
-  CHECK(Subject.run({"domain"}).m_Code == codeOf(CliError::Usage));
-  CHECK(Subject.run({"route", "orders"}).m_Code == codeOf(CliError::Usage));
-  CHECK(Subject.run({"--nonsense"}).m_Code == codeOf(CliError::Usage));
+  CliFixture Subject;
+  CHECK(Subject.run({"domain"}).m_Code == exitCodeOf(CliError::Usage));
+  CHECK(Subject.run({"route", "orders"}).m_Code == exitCodeOf(CliError::Usage));
+  CHECK(Subject.run({"--nonsense"}).m_Code == exitCodeOf(CliError::Usage));
   CHECK(Subject.run({"--help"}).m_Code == 0);
   CHECK(Subject.run({"manifest", "check", "no-such-file"}).m_Code ==
-        codeOf(CliError::InvalidInput));
+        exitCodeOf(CliError::InvalidInput));
 }
 
 TEST_CASE("what remains bears the load up to the bearable share") {
-  CHECK_FALSE(isShort(7, 10));
-  CHECK(isShort(9, 10));
-  CHECK(isShort(0, 0));
+  CHECK_FALSE(isInsufficient(7, 10));
+  CHECK(isInsufficient(9, 10));
+  CHECK(isInsufficient(0, 0));
 }
--- a/tests/unit-manifest.cpp
+++ b/tests/unit-manifest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-const std::string Good = R"(deployment: test
+const std::string ValidManifest = R"(deployment: test
 failure_domains:
   - { name: a, region: r }
 services:
@@ -25,8 +25,8 @@
 )";
 
 /// Replaces one text of the good manifest and reads the result.
-ManifestResult readWith(const std::string &From, const std::string &To) {
-  std::string Text = Good;
+ManifestResult readEdited(const std::string &From, const std::string &To) {
+  std::string Text = ValidManifest;
   const std::size_t Position = Text.find(From);
   REQUIRE(Position != std::string::npos);
   Text.replace(Position, From.size(), To);
@@ -46,7 +46,7 @@
 } // namespace
 
 TEST_CASE("a good manifest is read whole") {
-  const ManifestResult Result = readManifest(Good, "m.yaml");
+  const ManifestResult Result = readManifest(ValidManifest, "m.yaml");
   REQUIRE(Result.m_Manifest.has_value());
   const Service &Orders = Result.m_Manifest->m_Services.at(0);
   CHECK(Orders.m_Shards == 16);
@@ -57,32 +57,32 @@
 }
 
 TEST_CASE("faults are named by line, field and reason") {
-  CHECK(reports(readWith("shards: 16", "shards: many"), 7, "services[0].shards",
-                "whole number"));
-  CHECK(reports(readWith("shards: 16", "shards: 0"), 7, "services[0].shards",
+  CHECK(reports(readEdited("shards: 16", "shards: many"), 7,
+                "services[0].shards", "whole number"));
+  CHECK(reports(readEdited("shards: 16", "shards: 0"), 7, "services[0].shards",
                 "from 1"));
-  CHECK(reports(readWith("shards: 16", "shard: 16"), 7, "services[0].shard",
+  CHECK(reports(readEdited("shards: 16", "shard: 16"), 7, "services[0].shard",
                 "not a known field"));
-  CHECK(reports(readWith("deadline: 250ms", "deadline: soon"), 10,
+  CHECK(reports(readEdited("deadline: 250ms", "deadline: soon"), 10,
                 "services[0].classes[0].deadline", "duration"));
-  CHECK(reports(readWith("deadline: 1s", "deadline: 1m"), 11,
+  CHECK(reports(readEdited("deadline: 1s", "deadline: 1m"), 11,
                 "services[0].classes[1].deadline", "must be from"));
-  CHECK(reports(readWith("name: place", "name: read"), 11,
+  CHECK(reports(readEdited("name: place", "name: read"), 11,
                 "services[0].classes[1].name", "used twice"));
-  CHECK(reports(readWith("slots: 4", "slots: 400"), 8,
+  CHECK(reports(readEdited("slots: 4", "slots: 400"), 8,
                 "services[0].limits.connections", "lower than slots"));
-  CHECK(reports(readWith("GET /orders", "orders"), 10,
+  CHECK(reports(readEdited("GET /orders", "orders"), 10,
                 "services[0].classes[0].match", "METHOD"));
-  CHECK(reports(readWith("idempotent: false", "idempotent: maybe"), 11,
+  CHECK(reports(readEdited("idempotent: false", "idempotent: maybe"), 11,
                 "services[0].classes[1].idempotent", "true or false"));
-  CHECK(reports(readWith("region: r", "region: 'r r'"), 3,
+  CHECK(reports(readEdited("region: r", "region: 'r r'"), 3,
                 "failure_domains[0].region", "letters"));
-  CHECK(reports(readWith("shards: 16", "shards: 16\n    shards: 16"), 8,
+  CHECK(reports(readEdited("shards: 16", "shards: 16\n    shards: 16"), 8,
                 "services[0].shards", "twice"));
 }
 
 TEST_CASE("a faulty manifest yields nothing to apply") {
-  const ManifestResult Result = readWith("shards: 16", "shards: many");
+  const ManifestResult Result = readEdited("shards: 16", "shards: many");
   CHECK_FALSE(Result.m_Manifest.has_value());
   CHECK_FALSE(readManifest("[", "m.yaml").m_Problems.empty());
   CHECK_FALSE(readManifest("", "m.yaml").m_Problems.empty());
@@ -96,7 +96,7 @@
     RC_ASSERT(Result.m_Manifest.has_value() == Result.m_Problems.empty());
   }));
   CHECK(rc::check("one byte of a good manifest changed", [] {
-    std::string Text = Good;
+    std::string Text = ValidManifest;
     const auto Index = *rc::gen::inRange<std::size_t>(0, Text.size());
     Text.at(Index) = *rc::gen::arbitrary<char>();
     const ManifestResult Result = readManifest(Text, "m.yaml");
@@ -105,17 +105,17 @@
 }
 
 TEST_CASE("durations are parsed with their unit") {
-  CHECK(readWith("deadline: 250ms", "deadline: 250000us")
+  CHECK(readEdited("deadline: 250ms", "deadline: 250000us")
             .m_Manifest->m_Services.at(0)
             .m_Classes.at(0)
             .m_Deadline == std::chrono::milliseconds(250));
-  CHECK_FALSE(readWith("deadline: 250ms", "deadline: 250").m_Manifest);
-  CHECK_FALSE(readWith("deadline: 250ms", "deadline: -1s").m_Manifest);
+  CHECK_FALSE(readEdited("deadline: 250ms", "deadline: 250").m_Manifest);
+  CHECK_FALSE(readEdited("deadline: 250ms", "deadline: -1s").m_Manifest);
 }
 
 TEST_CASE("changes between manifests are named by path") {
-  const Manifest Before = *readManifest(Good, "m.yaml").m_Manifest;
-  const Manifest After = *readWith("slots: 4", "slots: 5").m_Manifest;
+  const Manifest Before = *readManifest(ValidManifest, "m.yaml").m_Manifest;
+  const Manifest After = *readEdited("slots: 4", "slots: 5").m_Manifest;
   const auto Changes = diffManifests(Before, After);
   REQUIRE(Changes.size() == 1);
   CHECK(Changes.at(0).m_Path == "services/orders/slots");
@@ -125,9 +125,9 @@
 }
 
 TEST_CASE("the number of shards cannot change while a service runs") {
-  const Manifest Before = *readManifest(Good, "m.yaml").m_Manifest;
+  const Manifest Before = *readManifest(ValidManifest, "m.yaml").m_Manifest;
   CHECK(incompatibleChanges(Before,
-                            *readWith("shards: 16", "shards: 32").m_Manifest)
+                            *readEdited("shards: 16", "shards: 32").m_Manifest)
             .size() == 1);
   CHECK(incompatibleChanges(Before, Before).empty());
 }
--- a/tests/unit-settings.cpp
+++ b/tests/unit-settings.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-const std::string Complete = R"(instance: tt-1
+const std::string RequiredOnly = R"(instance: tt-1
 domain: a
 region: r
 peer_address: 127.0.0.1:7001
@@ -20,13 +20,13 @@
 platform: http://127.0.0.1:7000
 )";
 
-Settings accept(const std::string &Text) {
+Settings parseValid(const std::string &Text) {
   auto Result = parseSettings(Text, "file.yaml");
   REQUIRE(std::holds_alternative<Settings>(Result));
   return std::get<Settings>(Result);
 }
 
-std::vector<std::string> refuse(const std::string &Text) {
+std::vector<std::string> parseInvalid(const std::string &Text) {
   auto Result = parseSettings(Text, "file.yaml");
   REQUIRE(std::holds_alternative<std::vector<SettingsError>>(Result));
   std::vector<std::string> Lines;
@@ -37,16 +37,16 @@
 }
 
 /// Whether exactly one fault was found, and it starts as given.
-bool onlyFault(const std::string &Text, const std::string &Start) {
-  const std::vector<std::string> Faults = refuse(Text);
-  CAPTURE(Faults.front());
-  return Faults.size() == 1 && Faults.front().starts_with(Start);
+bool onlyError(const std::string &Text, const std::string &Start) {
+  const std::vector<std::string> Errors = parseInvalid(Text);
+  CAPTURE(Errors.front());
+  return Errors.size() == 1 && Errors.front().starts_with(Start);
 }
 
 } // namespace
 
 TEST_CASE("settings without optional fields keep the defaults") {
-  const Settings Given = accept(Complete);
+  const Settings Given = parseValid(RequiredOnly);
   CHECK(Given.m_Instance == InstanceName("tt-1"));
   CHECK(Given.m_PlatformAddress == "127.0.0.1:7000");
   CHECK(Given.m_LogFormat == LogFormat::Text);
@@ -58,7 +58,8 @@
 }
 
 TEST_CASE("optional sections are read") {
-  const Settings Given = accept(Complete + R"(log: {level: debug, format: json}
+  const Settings Given =
+      parseValid(RequiredOnly + R"(log: {level: debug, format: json}
 limits: {platform_timeout_ms: 500, caller_connections: 10}
 coordination: {lease_ms: 3000, heartbeat_ms: 900}
 policy:
@@ -87,36 +88,38 @@
 }
 
 TEST_CASE("a fault names file, line, field and reason") {
-  CHECK(onlyFault(Complete + "colour: red\n",
+  CHECK(onlyError(RequiredOnly + "colour: red\n",
                   "file.yaml:9: colour: is no known field"));
-  CHECK(onlyFault(Complete + "policy:\n  gate: open\n",
+  CHECK(onlyError(RequiredOnly + "policy:\n  gate: open\n",
                   "file.yaml:10: policy.gate: must be one of adaptive, fixed"));
-  CHECK(onlyFault(Complete + "limits:\n  outcomes: many\n",
+  CHECK(onlyError(RequiredOnly + "limits:\n  outcomes: many\n",
                   "file.yaml:10: limits.outcomes: must be a whole number"));
-  CHECK(onlyFault(Complete + "limits:\n  outcomes: 0\n",
+  CHECK(onlyError(RequiredOnly + "limits:\n  outcomes: 0\n",
                   "file.yaml:10: limits.outcomes: must be a whole number"));
-  CHECK(onlyFault(Complete + "retry: [1]\n", "file.yaml:9: retry: must be"));
-  CHECK(onlyFault(Complete + "policy:\n  hedge: maybe\n",
+  CHECK(
+      onlyError(RequiredOnly + "retry: [1]\n", "file.yaml:9: retry: must be"));
+  CHECK(onlyError(RequiredOnly + "policy:\n  hedge: maybe\n",
                   "file.yaml:10: policy.hedge: must be true or false"));
-  CHECK(onlyFault(Complete + "domain: b\n",
+  CHECK(onlyError(RequiredOnly + "domain: b\n",
                   "file.yaml:9: domain: is given twice"));
-  CHECK(onlyFault(Complete + "coordination: {lease_ms: 700}\n",
+  CHECK(onlyError(RequiredOnly + "coordination: {lease_ms: 700}\n",
                   "file.yaml:1: coordination.lease_ms: must be at least"));
 }
 
 TEST_CASE("addresses and the platform's URL are checked") {
-  std::string Text = Complete;
+  std::string Text = RequiredOnly;
   Text.replace(Text.find("127.0.0.1:7001"), 14, "localhost:7001");
-  CHECK(onlyFault(Text, "file.yaml:4: peer_address: must be an IPv4"));
-  Text = Complete;
+  CHECK(onlyError(Text, "file.yaml:4: peer_address: must be an IPv4"));
+  Text = RequiredOnly;
   Text.replace(Text.find("http://"), 7, "ftp://");
-  CHECK(onlyFault(Text, "file.yaml:8: platform: must be as in"));
+  CHECK(onlyError(Text, "file.yaml:8: platform: must be as in"));
 }
 
 TEST_CASE("all faults are reported together") {
-  const std::vector<std::string> Faults = refuse("instance: x\nextra: 1\n");
-  const auto Has = [&Faults](const std::string &Line) {
-    return std::find(Faults.begin(), Faults.end(), Line) != Faults.end();
+  const std::vector<std::string> Errors =
+      parseInvalid("instance: x\nextra: 1\n");
+  const auto Has = [&Errors](const std::string &Line) {
+    return std::find(Errors.begin(), Errors.end(), Line) != Errors.end();
   };
   CHECK(Has("file.yaml:1: domain: is missing"));
   CHECK(Has("file.yaml:1: platform: is missing"));
@@ -124,9 +127,9 @@
 }
 
 TEST_CASE("text that is no YAML mapping is refused") {
-  CHECK(refuse("a: [1, 2\n").front().starts_with("file.yaml:"));
-  CHECK(refuse("- 1\n").front() == "file.yaml:1: must be a mapping");
-  CHECK(refuse("").front() == "file.yaml:1: must be a mapping");
+  CHECK(parseInvalid("a: [1, 2\n").front().starts_with("file.yaml:"));
+  CHECK(parseInvalid("- 1\n").front() == "file.yaml:1: must be a mapping");
+  CHECK(parseInvalid("").front() == "file.yaml:1: must be a mapping");
 }
 
 TEST_CASE("a file that cannot be read is named") {
