--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,5 +1,6 @@
-// Embeds three coordinators in one process: they share a table in memory, join
-// a group, divide a service's shards, and print who owns what.
+// Example: runs three coordinators in one process on a shared in-memory table.
+// They join a group and divide a service's shards; the program prints the
+// number of shards that each one owns.
 #include <balsamwheel/coordination.h>
 #include <balsamwheel/detail/coordination/head_row.h>
 
@@ -13,7 +14,8 @@
 
 using namespace balsamwheel;
 
-/// The smallest table that keeps the rules: conditions, then writes.
+/// Minimal in-memory table with conditional commits: either all conditions hold
+/// and all writes are applied, or nothing changes.
 class MemoryTable {
 public:
   TableReply read(const TableRead &What) const {
@@ -65,7 +67,7 @@
   Coordinator m_Coordinator;
 };
 
-/// Carries out the effects of all participants and lets time pass.
+/// Executes the effects of all coordinators and advances simulated time.
 class Simulation {
 public:
   explicit Simulation(MemoryTable &Table) : m_Table(Table) {}
--- a/include/balsamwheel/detail/manifest/diff.h
+++ b/include/balsamwheel/detail/manifest/diff.h
@@ -1,4 +1,4 @@
-// What changes between two manifests, for operators to read.
+// Differences between two manifests, in a form for operators.
 #pragma once
 
 #include "balsamwheel/detail/manifest/model.h"
@@ -10,24 +10,25 @@
 
 enum class ChangeKind : std::uint8_t { Added, Removed, Changed };
 
-/// One changed field or entry.
+/// One added, removed or changed field or list entry.
 struct ManifestChange {
   ChangeKind m_Kind = ChangeKind::Changed;
   /// Path such as "services/orders/shards".
   std::string m_Path;
-  /// JSON of the value; empty when there is none on that side.
+  /// JSON of the old value; empty for added fields.
   std::string m_Before;
+  /// JSON of the new value; empty for removed fields.
   std::string m_After;
 };
 
-/// Compares two manifests; entries of lists are matched by name.
+/// Compares two manifests. List entries are matched by their "name" field.
 ///
-/// Complexity: n log n in the number of fields.
+/// Complexity: O(n log n) in the number of fields.
 std::vector<ManifestChange> diffManifests(const Manifest &Before,
                                           const Manifest &After);
 
-/// Reasons why a change cannot be put in force on a running deployment, such
-/// as another number of shards.
+/// Returns the reasons why a change can't be applied to a running deployment,
+/// such as a different number of shards; empty if it can.
 std::vector<std::string> incompatibleChanges(const Manifest &Before,
                                              const Manifest &After);
 
--- a/include/balsamwheel/detail/manifest/model.h
+++ b/include/balsamwheel/detail/manifest/model.h
@@ -1,4 +1,4 @@
-// The checked manifest: services, request classes, failure domains.
+// The validated manifest: services, request classes and failure domains.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -10,8 +10,8 @@
 
 namespace balsamwheel {
 
-/// How a class competes for a target's slots. Ordered from most to least
-/// pressing.
+/// Priority of a class when requests compete for a target's slots, highest
+/// first.
 enum class Urgency : std::uint8_t { Urgent, Interactive, Bulk };
 
 inline constexpr std::size_t UrgencyCount = 3;
@@ -20,35 +20,37 @@
 struct RequestClass {
   ClassName m_Name;
   Urgency m_Urgency = Urgency::Interactive;
-  /// A request of this class may be sent to a target more than once.
+  /// Whether a request of this class may be sent to a target more than once.
   bool m_Idempotent = true;
-  /// Used when the caller names none, and the most a caller may ask for.
+  /// Default deadline, and the longest deadline that a caller may request.
   Duration m_Deadline = std::chrono::seconds(1);
   /// "METHOD /path-prefix" patterns that select this class when the caller
-  /// names none.
+  /// specifies no class.
   std::vector<std::string> m_Match;
 
   bool operator==(const RequestClass &) const = default;
 };
 
-/// A service, run by targets that announce its name.
+/// A service. It runs on the targets that announce its name.
 struct Service {
   ServiceName m_Name;
-  /// Each key has one owner. Otherwise any target serves any request.
+  /// Whether each key has one owner. If not, any target serves any request.
   bool m_DividedByKey = false;
-  /// At least 1 when divided by key, else 0.
+  /// Number of shards: at least 1 if divided by key, otherwise 0.
   std::uint32_t m_Shards = 0;
-  /// The target refuses orders whose epoch is lower than one it has seen.
+  /// Whether the target rejects orders with an epoch lower than one it has
+  /// seen.
   bool m_ChecksFences = false;
-  /// Requests that one target runs at the same time.
+  /// Maximum number of requests that one target runs concurrently.
   std::uint32_t m_Slots = 10;
-  /// Connections that one target accepts.
+  /// Maximum number of connections that one target accepts.
   std::uint32_t m_Connections = 130;
-  /// Requests waiting for a slot at one target, over all classes.
+  /// Maximum number of requests waiting for a slot at one target, over all
+  /// classes.
   std::uint32_t m_QueueLimit = 200;
   /// Largest request body accepted, in bytes.
   std::uint64_t m_MaxBodyBytes = 1U << 20U;
-  /// Not empty; the first class is the default.
+  /// Never empty; the first class is the default.
   std::vector<RequestClass> m_Classes;
 
   bool operator==(const Service &) const = default;
@@ -68,7 +70,7 @@
 
   bool operator==(const Manifest &) const = default;
 
-  /// Finds a service by name; null when there is none. Complexity: linear.
+  /// Finds a service by name; null if there is none. Complexity: linear.
   const Service *findService(const ServiceName &Name) const {
     for (const Service &Candidate : m_Services)
       if (Candidate.m_Name == Name)
@@ -77,13 +79,14 @@
   }
 };
 
-/// A version of the configuration: the manifest and what operators took out.
+/// One version of the configuration: the manifest, and the failure domains and
+/// instances that operators have taken out of service.
 struct Config {
   ConfigVersion m_Version;
   Manifest m_Manifest;
   /// Failure domains out of service. Sorted.
   std::vector<DomainName> m_DomainsOut;
-  /// Instances told to leave. Sorted.
+  /// Instances that operators have asked to drain. Sorted.
   std::vector<InstanceName> m_Draining;
 
   bool operator==(const Config &) const = default;
--- a/include/balsamwheel/detail/manifest/problem.h
+++ b/include/balsamwheel/detail/manifest/problem.h
@@ -1,4 +1,4 @@
-// Faults that a check of a YAML document found.
+// Errors found while validating a YAML document.
 #pragma once
 
 #include <string>
@@ -6,10 +6,10 @@
 
 namespace balsamwheel {
 
-/// One fault of a document.
+/// One error in a document.
 struct Problem {
   std::string m_File;
-  /// Counted from 1; 0 when no line can be named.
+  /// Line number from 1; 0 if unknown.
   int m_Line = 0;
   /// Path of the field, e.g. "services[2].shards".
   std::string m_Field;
--- a/include/balsamwheel/detail/manifest/yaml_fields.h
+++ b/include/balsamwheel/detail/manifest/yaml_fields.h
@@ -1,5 +1,5 @@
-// Checked access to YAML documents: every fault is collected with its line
-// and field, and nothing is guessed.
+// Validating access to YAML documents. All errors are collected with line and
+// field; malformed values are never coerced.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -29,21 +29,21 @@
   std::vector<Problem> m_Problems;
 };
 
-/// Smallest and largest value of a number, both allowed.
+/// Inclusive range of a number.
 struct Range {
   std::uint64_t m_Min = 0;
   std::uint64_t m_Max = UINT64_MAX;
 };
 
-/// One mapping of a document. Fields that are present but never asked for are
-/// reported by finish().
+/// One mapping of a document. finish() reports the fields that are present but
+/// were never read.
 class YamlMap {
 public:
-  /// \param Path of the mapping, empty for the whole document.
+  /// \param Path path of the mapping; empty for the document root.
   YamlMap(const YAML::Node &Node, std::string Path, ProblemLog &Log);
 
   bool has(const std::string &Key) const;
-  /// Reads a text that is not empty; none when absent.
+  /// Reads a non-empty string; none if absent.
   std::optional<std::string> text(const std::string &Key);
   std::string requiredText(const std::string &Key);
   std::optional<std::uint64_t> number(const std::string &Key, Range Allowed);
@@ -51,18 +51,18 @@
   /// Reads a duration such as "250ms", "2s" or "1m".
   std::optional<Duration> duration(const std::string &Key, Duration Min,
                                    Duration Max);
-  /// Reads a list of texts; empty when absent.
+  /// Reads a list of non-empty strings; empty if absent.
   std::vector<std::string> texts(const std::string &Key);
-  /// Reads one of \p Names and returns its index.
+  /// Reads one of \p Names and returns its index; none if absent.
   std::optional<std::size_t> choice(const std::string &Key,
                                     const std::vector<std::string> &Names);
-  /// Reads a list of mappings; empty when absent.
+  /// Reads a list of mappings; empty if absent.
   std::vector<YamlMap> maps(const std::string &Key);
-  /// Reads a nested mapping; none when absent.
+  /// Reads a nested mapping; none if absent.
   std::optional<YamlMap> map(const std::string &Key);
 
   void problem(const std::string &Key, std::string Reason);
-  /// Reports unknown and repeated fields.
+  /// Reports unknown and duplicate fields. Call it after all reads.
   void finish();
 
 private:
@@ -75,7 +75,7 @@
   std::set<std::string> m_ReadKeys;
 };
 
-/// Parses a duration such as "250ms"; none when it has another shape.
+/// Parses a duration such as "250ms"; none if it is malformed or too large.
 std::optional<Duration> parseDuration(const std::string &Text);
 
 } // namespace balsamwheel
--- a/include/balsamwheel/manifest.h
+++ b/include/balsamwheel/manifest.h
@@ -1,5 +1,5 @@
-// Public header of the manifest library: reading and checking manifests, and
-// the differences between two of them.
+// Public header of the manifest library: reading, validating and comparing
+// manifests.
 #pragma once
 
 #include "balsamwheel/detail/manifest/diff.h"
--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -1,4 +1,4 @@
-// Asks daemons over their admin interface.
+// Blocking client of the daemons' admin interface.
 #include "cli/admin_client.h"
 
 #include "runtime/boot_clock.h"
--- a/src/cli/admin_client.h
+++ b/src/cli/admin_client.h
@@ -1,4 +1,4 @@
-// Asks daemons over their admin interface.
+// Blocking client of the daemons' admin interface.
 #pragma once
 
 #include "adapters/http_client/transfer_loop.h"
@@ -15,7 +15,8 @@
   AdminClient() : m_Loop({.m_Name = "admin"}) {}
   ~AdminClient() { m_Loop.stop(); }
 
-  /// \returns the JSON answer; none when the daemon does not answer in time.
+  /// \returns the JSON answer; none if the daemon sends no valid answer with
+  /// status 200 within the time-out.
   std::optional<nlohmann::json> get(const std::string &Address,
                                     const std::string &Path);
 
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -1,4 +1,4 @@
-// Commands that check, compare or change the configuration.
+// Commands that validate, compare, show or change the configuration.
 #include "cli/change_commands.h"
 
 #include "balsamwheel/manifest.h"
@@ -67,7 +67,8 @@
   return Result;
 }
 
-/// Commits and, unless told otherwise, waits until the change is in force.
+/// Commits a configuration and waits until all members have applied it. Doesn't
+/// wait if the time limit is 0.
 CommandResult commitAndWait(const CommonOptions &Common, TableSession &Table,
                             const ClusterRows &Base, const Config &Next,
                             const std::string &What) {
@@ -99,7 +100,9 @@
   return Next;
 }
 
-/// Adds a name to, or removes it from, a sorted list; false if unchanged.
+/// Adds or removes a name in a sorted list.
+///
+/// \returns false if the list already was as required.
 template <typename Name>
 bool setPresent(std::vector<Name> &List, const Name &Value, bool Present) {
   const auto Place = std::ranges::lower_bound(List, Value);
@@ -147,7 +150,7 @@
     Warning = describeShortages(Shortages);
     if (!Shortages.empty() && !Common.m_Force)
       return failure(CliError::Refused,
-                     Warning + "\nrepeat with --force to do it all the same");
+                     Warning + "\nuse --force to proceed anyway");
   }
   CommandResult Result =
       commitAndWait(Common, Table, Current, Next,
@@ -165,7 +168,7 @@
     return invalidManifest(Read.m_Problems);
   CommandResult Result;
   Result.m_Text =
-      File + ": good, " + std::to_string(Read.m_Manifest->m_Services.size()) +
+      File + ": valid, " + std::to_string(Read.m_Manifest->m_Services.size()) +
       " services in " + std::to_string(Read.m_Manifest->m_Domains.size()) +
       " failure domains";
   Result.m_Json = {{"valid", true}};
@@ -194,7 +197,7 @@
   }
   Result.m_Text = "against version " +
                   std::to_string(Current.m_Config.m_Version.value()) +
-                  (Lines.empty() ? ": no change" : ":\n" + joinLines(Lines));
+                  (Lines.empty() ? ": no changes" : ":\n" + joinLines(Lines));
   return Result;
 }
 
@@ -230,7 +233,8 @@
   if (const std::error_code Error = readCluster(Table, Current))
     return failure(Error);
   if (Current.m_Config.m_Version == ConfigVersion())
-    return failure(CliError::InvalidInput, "no manifest was committed yet");
+    return failure(CliError::InvalidInput,
+                   "no manifest has been committed yet");
   CommandResult Result;
   Result.m_Json = toDocument(Current.m_Config);
   Result.m_Text = Result.m_Json.dump(2);
@@ -264,10 +268,10 @@
   if (!setPresent(Next.m_Draining, Instance, !Undo))
     return unchanged(Current.m_Config,
                      "instance '" + Name + "' " +
-                         (Undo ? "does not drain" : "drains already"));
+                         (Undo ? "is not draining" : "is already draining"));
   return commitAndWait(Common, Table, Current, Next,
                        "instance '" + Name + "' " +
-                           (Undo ? "stays" : "drains"));
+                           (Undo ? "stops draining" : "starts draining"));
 }
 
 } // namespace balsamwheel::cli
--- a/src/cli/change_commands.h
+++ b/src/cli/change_commands.h
@@ -1,4 +1,4 @@
-// Commands that check, compare or change the configuration.
+// Commands that validate, compare, show or change the configuration.
 #pragma once
 
 #include "cli/result.h"
@@ -10,22 +10,25 @@
 
 namespace balsamwheel::cli {
 
-/// Settings that all commands share.
+/// Options that all commands share.
 struct CommonOptions {
   /// "host:port" or URL of the platform.
   std::string m_Platform;
-  /// How long to try to reach the table.
+  /// Time limit for reading or committing rows, including retries.
   std::chrono::milliseconds m_TableLimit{5000};
-  /// How long to wait for a change to be in force; 0 does not wait.
+  /// How long to wait until all members have applied a change; 0 doesn't wait.
   std::chrono::milliseconds m_InForceLimit{15'000};
-  /// Carry a change out although the rest may not bear the load.
+  /// Proceed even if the remaining targets may lack capacity for the load.
   bool m_Force = false;
 };
 
 CommandResult checkManifest(const std::string &File);
 CommandResult diffManifest(const CommonOptions &Common,
                            const std::string &File);
-/// \param Base the version that the operator worked from.
+/// Commits a manifest.
+///
+/// \param Base the version that the change is based on. If another version is
+/// current, nothing is committed.
 CommandResult commitManifest(const CommonOptions &Common,
                              const std::string &File, std::uint64_t Base);
 CommandResult showManifest(const CommonOptions &Common);
@@ -33,7 +36,7 @@
                             const std::string &Name);
 CommandResult bringDomainIn(const CommonOptions &Common,
                             const std::string &Name);
-/// Tells an instance to leave, or with \p Undo to stay.
+/// Asks an instance to drain; with \p Undo, withdraws that request.
 CommandResult drainInstance(const CommonOptions &Common,
                             const std::string &Name, bool Undo);
 
--- a/src/cli/cluster_rows.cpp
+++ b/src/cli/cluster_rows.cpp
@@ -1,4 +1,4 @@
-// The rows of the table as commands read them.
+// Reading and committing the table rows that commands use.
 #include "cli/cluster_rows.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::milliseconds PollPeriod{200};
-/// Tries of a commit that lost only against bumps of the head row.
+/// Maximum number of commit attempts while only the head row has changed.
 constexpr int MaxHeadConflicts = 50;
 
 bool parseRow(const Row &Stored, ClusterRows &Output) {
--- a/src/cli/cluster_rows.h
+++ b/src/cli/cluster_rows.h
@@ -1,4 +1,4 @@
-// The rows of the table as commands read them: configuration and members.
+// The table rows that commands use: configuration and members.
 #pragma once
 
 #include "balsamwheel/detail/coordination/group_row.h"
@@ -10,10 +10,10 @@
 
 namespace balsamwheel::cli {
 
-/// One snapshot of the rows that most commands need.
+/// One consistent snapshot of these rows.
 struct ClusterRows {
   HeadRow m_Head;
-  /// ConfigHeadRow as read; version 0 when nothing was committed yet.
+  /// The row of ConfigHeadRowKey; version 0 if nothing has been committed yet.
   Row m_ConfigRow;
   Config m_Config;
   std::vector<GroupMember> m_Members;
@@ -21,25 +21,25 @@
 
 /// Reads the configuration and all members.
 ///
-/// \param Into receives the snapshot.
-/// \returns Unreachable or BadRow.
+/// \param Output receives the snapshot.
+/// \returns no error, Unreachable or BadRow.
 std::error_code readCluster(TableSession &Table, ClusterRows &Output);
 
 /// Commits a new configuration on top of a snapshot.
 ///
-/// A bump of the head row by others, such as a member that joins, is no
-/// conflict: the snapshot is read again as long as the configuration is still
-/// the one that \p Next was made from.
+/// Concurrent updates of the head row, for example by a joining member, don't
+/// count as a conflict: the snapshot is read again and the commit retried, as
+/// long as the configuration is still the one that \p Next is based on.
 std::error_code commitConfig(TableSession &Table, ClusterRows Base,
                              const Config &Next);
 
-/// Members that have not applied a version yet.
+/// Returns the sorted names of the members that have not applied a version yet.
 std::vector<InstanceName> findLagging(const std::vector<GroupMember> &Members,
                                       ConfigVersion Version);
 
-/// Waits until each member has applied a version or has left.
+/// Waits until every member has applied a version or has left.
 ///
-/// \returns the instances that still lag at the time limit; none on success.
+/// \returns the instances that still lag at the time limit; empty on success.
 std::vector<InstanceName> waitInForce(TableSession &Table,
                                       ConfigVersion Version,
                                       std::chrono::milliseconds Limit);
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -1,4 +1,4 @@
-// Reads the command line and runs the command that it names.
+// Parses the command line and runs the selected command.
 #include "cli/command_line.h"
 
 #include "cli/change_commands.h"
@@ -15,12 +15,12 @@
 
 namespace {
 
-/// One command: its words, its operands and what it runs.
+/// One command: its name of one or two words, its operands and its function.
 struct Command {
   std::vector<std::string> m_Words;
   std::vector<std::string> m_Operands;
   const char *m_Help;
-  /// Needs --platform.
+  /// Whether --platform is required.
   bool m_NeedsPlatform;
   std::function<CommandResult(const CommonOptions &,
                               const std::vector<std::string> &,
@@ -36,21 +36,21 @@
   static const std::vector<Command> All{
       {{"manifest", "check"},
        {"FILE"},
-       "checks a manifest without a platform",
+       "validates a manifest without a platform",
        false,
        [](const Options &, const Words &Given, const Parsed &) {
          return checkManifest(Given[0]);
        }},
       {{"manifest", "diff"},
        {"FILE"},
-       "shows what a manifest would change",
+       "shows the changes that a manifest would make",
        true,
        [](const Options &Common, const Words &Given, const Parsed &) {
          return diffManifest(Common, Given[0]);
        }},
       {{"manifest", "commit"},
        {"FILE"},
-       "puts a manifest in force; needs --base",
+       "commits a manifest; requires --base",
        true,
        [](const Options &Common, const Words &Given, const Parsed &Flags) {
          if (Flags.count("base") == 0)
@@ -81,7 +81,7 @@
        }},
       {{"drain"},
        {"INSTANCE"},
-       "tells an instance to leave; --undo takes it back",
+       "drains an instance; --undo ends the draining",
        true,
        [](const Options &Common, const Words &Given, const Parsed &Flags) {
          return drainInstance(Common, Given[0], Flags["undo"].as<bool>());
@@ -95,14 +95,14 @@
        }},
       {{"owners"},
        {},
-       "counts the shards of each owner; --service picks one service",
+       "counts the shards of each owner; --service selects one service",
        true,
        [](const Options &Common, const Words &, const Parsed &Flags) {
          return showOwners(Common, Flags["service"].as<std::string>());
        }},
       {{"route"},
        {"SERVICE", "KEY"},
-       "shows the owner of a key and why",
+       "shows the owner of a key and the reason",
        true,
        [](const Options &Common, const Words &Given, const Parsed &) {
          return showRoute(Common, Given[0], Given[1]);
@@ -127,17 +127,18 @@
   Add("platform", "address of the platform, host:port",
       cxxopts::value<std::string>()->default_value(""));
   Add("json", "print JSON", cxxopts::value<bool>()->default_value("false"));
-  Add("base", "manifest commit: the version that the change is made from",
+  Add("base", "manifest commit: the version that the change is based on",
       cxxopts::value<std::uint64_t>());
   Add("service", "owners: show this service only",
       cxxopts::value<std::string>()->default_value(""));
-  Add("undo", "drain: the instance stays after all",
+  Add("undo", "drain: end the draining of the instance",
       cxxopts::value<bool>()->default_value("false"));
-  Add("force", "domain out: also when the rest may not bear the load",
+  Add("force",
+      "domain out: proceed even if the remaining targets may lack capacity",
       cxxopts::value<bool>()->default_value("false"));
-  Add("table-timeout", "ms to try to reach the table",
+  Add("table-timeout", "time limit for access to the table, in ms",
       cxxopts::value<std::uint32_t>()->default_value("5000"));
-  Add("wait", "ms to wait until a change is in force; 0 does not wait",
+  Add("wait", "time limit for a change to be in force, in ms; 0 does not wait",
       cxxopts::value<std::uint32_t>()->default_value("15000"));
   Add("help", "print help", cxxopts::value<bool>()->default_value("false"));
   Add("words", "", cxxopts::value<Words>()->default_value(""));
@@ -164,7 +165,7 @@
     if (Chosen == nullptr || Chosen == &Candidate)
       Out << "  " << usageOf(Candidate) << "\n      " << Candidate.m_Help
           << "\n";
-  Out << "\nExit codes: 0 done";
+  Out << "\nExit codes: 0 success";
   for (int Code = 1; Code <= static_cast<int>(CliError::BadRow); ++Code)
     Out << "\n  " << Code << " "
         << std::error_code(Code, cliCategory()).message();
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,4 +1,4 @@
-// Reads the command line and runs the command that it names.
+// Parses the command line and runs the selected command.
 #pragma once
 
 #include <iosfwd>
@@ -9,8 +9,8 @@
 
 /// Runs one command.
 ///
-/// \param Arguments the words after the program's name.
-/// \returns the exit code; the numbers are those of CliError.
+/// \param Arguments the arguments after the program name.
+/// \returns the exit code: 0 or the value of a CliError.
 int runCommandLine(const std::vector<std::string> &Arguments, std::ostream &Out,
                    std::ostream &Err);
 
--- a/src/cli/error.h
+++ b/src/cli/error.h
@@ -1,27 +1,27 @@
-// Errors of the command line, one exit code each.
+// Errors of the command-line tool, each with its own exit code.
 #pragma once
 
 #include <system_error>
 
 namespace balsamwheel::cli {
 
-/// The numbers are the program's exit codes.
+/// The values are the exit codes of the program.
 enum class CliError {
-  /// The command line itself is wrong.
+  /// The command line is invalid.
   Usage = 1,
-  /// A file or an argument does not pass its check.
+  /// A file or an argument is invalid; nothing was changed.
   InvalidInput = 2,
-  /// Another operator committed first.
+  /// Another operator committed first; nothing was changed.
   Conflict = 3,
   /// The table cannot be reached; nothing was changed.
   Unreachable = 4,
-  /// No answer came; the change may have been made.
+  /// The table did not answer; the change may have been made.
   OutcomeUnknown = 5,
   /// The change is not safe; nothing was changed.
   Refused = 6,
-  /// Committed, but not yet in force everywhere.
+  /// Committed, but some members have not applied the change yet.
   NotInForce = 7,
-  /// A row of the table has an unknown shape.
+  /// A row of the table has an unknown format.
   BadRow = 8,
 };
 
--- a/src/cli/program/main.cpp
+++ b/src/cli/program/main.cpp
@@ -1,4 +1,4 @@
-// balsamwheel, the operators' command line.
+// balsamwheel: the command-line tool for operators.
 #include "cli/command_line.h"
 
 #include <exception>
--- a/src/cli/remaining_capacity.cpp
+++ b/src/cli/remaining_capacity.cpp
@@ -1,4 +1,4 @@
-// Whether the targets that remain bear the load when others leave.
+// Capacity check before targets are taken out of service.
 #include "cli/remaining_capacity.h"
 
 #include "cli/admin_client.h"
@@ -11,11 +11,14 @@
 
 namespace {
 
+/// Load samples read from each daemon and averaged.
 constexpr int SampleCount = 4;
 constexpr std::chrono::milliseconds SampleInterval{50};
 
 struct ServiceLoad {
+  /// Orders running or waiting.
   double m_Demand = 0;
+  /// Slots of the targets that stay in service.
   double m_Remaining = 0;
   bool m_LosesTargets = false;
 };
@@ -26,7 +29,7 @@
          !std::ranges::binary_search(Known.m_Draining, Value.m_Instance);
 }
 
-/// Orders running or waiting at a daemon; 0 when it does not answer.
+/// Returns the orders running or waiting at a daemon; 0 if it doesn't answer.
 double readDemand(AdminClient &Client, const Member &Value) {
   if (Value.m_AdminAddress.empty())
     return 0;
@@ -77,10 +80,11 @@
   for (const Shortage &Found : Shortages) {
     if (!Result.empty())
       Result += "\n";
-    Result += "the rest of service '" + Found.m_Service.value() +
-              "' may not bear its load: " + std::to_string(Found.m_Demand) +
-              " orders open, " + std::to_string(Found.m_Remaining) +
-              " slots remain";
+    Result +=
+        "the remaining targets of service '" + Found.m_Service.value() +
+        "' may lack capacity for its load: " + std::to_string(Found.m_Demand) +
+        " open orders, " + std::to_string(Found.m_Remaining) +
+        " remaining slots";
   }
   return Result;
 }
--- a/src/cli/result.h
+++ b/src/cli/result.h
@@ -1,4 +1,4 @@
-// What a command prints and the code it exits with.
+// Output and error code of a command.
 #pragma once
 
 #include "cli/error.h"
@@ -13,13 +13,14 @@
 struct CommandResult {
   /// Unset on success.
   std::error_code m_Error;
-  /// For people; ends without a line break.
+  /// Human-readable output without a trailing line break.
   std::string m_Text;
-  /// For machines.
+  /// Output of the --json flag.
   nlohmann::json m_Json = nlohmann::json::object();
 };
 
-/// A failure with an explanation of what failed and what was not changed.
+/// Makes the result of a failed command: the message of \p Error, followed by
+/// \p Detail if given.
 inline CommandResult failure(CliError Error, const std::string &Detail) {
   const std::error_code Code = Error;
   return {.m_Error = Code,
@@ -28,9 +29,9 @@
           .m_Json = {{"detail", Detail}}};
 }
 
-/// A failure that a lower part of the command line reported.
+/// Makes the result of a failed command.
 ///
-/// \param Code of cliCategory().
+/// \param Code an error of cliCategory().
 inline CommandResult failure(const std::error_code &Code,
                              const std::string &Detail = "") {
   return failure(static_cast<CliError>(Code.value()), Detail);
--- a/src/cli/table_session.cpp
+++ b/src/cli/table_session.cpp
@@ -1,4 +1,4 @@
-// Blocking access to the platform's table for one command.
+// Blocking access to the platform's table for the duration of one command.
 #include "cli/table_session.h"
 
 #include "balsamwheel/detail/coordination/head_row.h"
@@ -78,7 +78,7 @@
     case TableStatus::Ok:
       return {};
     case TableStatus::Conflict:
-      // An earlier try of ours may be what the conditions ran into.
+      // The conflict may be with our own earlier attempt, if that was applied.
       if (MayHaveApplied && hasWriteId(What, Marker))
         return {};
       return CliError::Conflict;
--- a/src/cli/table_session.h
+++ b/src/cli/table_session.h
@@ -1,4 +1,4 @@
-// Blocking access to the platform's table for one command.
+// Blocking access to the platform's table for the duration of one command.
 #pragma once
 
 #include "adapters/platform_http/platform_client.h"
@@ -13,10 +13,10 @@
 
 namespace balsamwheel::cli {
 
-/// Removes "http://" and a trailing slash from an address.
+/// Removes a leading "http://" and trailing slashes from an address.
 std::string stripUrl(std::string Address);
 
-/// Reads and commits, repeating what is safe to repeat until a time limit.
+/// Reads and commits rows. Retries failed operations until a time limit.
 class TableSession {
 public:
   TableSession(const std::string &Platform, std::chrono::milliseconds Limit);
@@ -24,14 +24,15 @@
 
   /// Reads rows in one snapshot.
   ///
-  /// \returns none when the table cannot be reached within the limit.
+  /// \returns none if no read succeeds within the time limit.
   std::optional<std::vector<Row>> read(const TableRead &What);
 
-  /// Commits a transaction and settles a lost answer: the same transaction is
-  /// repeated, which its conditions make safe, and its write id is looked for
-  /// in \p Marker.
+  /// Commits a transaction. If an answer is lost, the same transaction is sent
+  /// again, which is safe because of its conditions. If that attempt conflicts,
+  /// the write id in row \p Marker shows whether an earlier one was applied.
   ///
-  /// \param Marker a row that the transaction writes with its write id.
+  /// \param Marker a row that the transaction writes and that contains its
+  /// write id.
   /// \returns no error, Conflict, Unreachable or OutcomeUnknown.
   std::error_code commit(const Transaction &What, const RowKey &Marker);
 
@@ -44,7 +45,7 @@
   std::chrono::milliseconds m_Limit;
 };
 
-/// A random write id.
+/// Returns a random write id, never 0.
 WriteId randomWriteId();
 
 } // namespace balsamwheel::cli
--- a/src/cli/view_commands.cpp
+++ b/src/cli/view_commands.cpp
@@ -46,7 +46,8 @@
           {"session", std::to_string(Value.m_Session.value())}};
 }
 
-/// Reads the map rows of one service.
+/// Reads the shard map of one service; none if the table can't be reached.
+/// Malformed rows are skipped.
 std::optional<std::vector<MapRow>> readMap(TableSession &Table,
                                            const ServiceName &Service) {
   const auto Rows = Table.read(
@@ -76,7 +77,7 @@
   return Session == SessionId() ? "none" : "lost";
 }
 
-/// Counts the shards of each owner of one service.
+/// Counts the shards of one service by owner.
 CommandResult ownersOf(const ClusterRows &Rows, const Service &Requested,
                        const std::vector<MapRow> &Map) {
   std::map<std::string, std::size_t> Counts;
@@ -104,13 +105,13 @@
 
 std::string explainRoute(const ClusterRows &Rows, const ShardEntry &Entry) {
   if (Entry.m_Owner == SessionId())
-    return "no owner was assigned yet";
+    return "no owner has been assigned yet";
   const Member *Owner = findSession(Rows, Entry.m_Owner);
   if (Owner == nullptr)
-    return "the owner was lost; an heir is about to be assigned";
+    return "the owner was lost; a new owner has yet to be assigned";
   if (findSession(Rows, Entry.m_FormerOwner) != nullptr)
     return "handed over from " + ownerName(Rows, Entry.m_FormerOwner) +
-           ", which may still finish requests";
+           ", which may still be completing requests";
   return "assigned by the map";
 }
 
--- a/src/cli/view_commands.h
+++ b/src/cli/view_commands.h
@@ -1,4 +1,4 @@
-// Commands that show the state of the deployment.
+// Commands that show the state of the deployment, read from the table.
 #pragma once
 
 #include "cli/change_commands.h"
@@ -9,7 +9,7 @@
 namespace balsamwheel::cli {
 
 CommandResult showStatus(const CommonOptions &Common);
-/// \param Service only this one; all if empty.
+/// \param Service the service to show; all services if empty.
 CommandResult showOwners(const CommonOptions &Common,
                          const std::string &Service);
 CommandResult showRoute(const CommonOptions &Common, const std::string &Service,
--- a/src/daemon/adapters.h
+++ b/src/daemon/adapters.h
@@ -1,5 +1,6 @@
-// What the core needs of its surroundings. Another protocol towards callers,
-// targets or the platform replaces one adapter and touches nothing else.
+// Concepts of the adapters that the core uses. To support another protocol for
+// callers, targets or the platform, replace the adapter; the core stays the
+// same.
 #pragma once
 
 #include "balsamwheel/detail/node/effects.h"
@@ -11,7 +12,7 @@
 
 namespace balsamwheel::daemon {
 
-/// Gives answers to callers. All calls may come from any thread.
+/// Sends answers to callers. Thread-safe.
 template <typename T>
 concept CallerEntrance =
     requires(T Entrance, AnswerCaller Answer, runtime::BodyPipePtr Rest) {
@@ -21,7 +22,7 @@
       { Entrance.openRequests() } -> std::convertible_to<std::size_t>;
     };
 
-/// Sends orders to the local target and reports each one's end once.
+/// Sends orders to the local target and reports the end of each exactly once.
 template <typename T>
 concept TargetClient =
     requires(T Client, StartOrder Order, runtime::BodyPipePtr Upload,
@@ -31,7 +32,7 @@
       Client.grant(Grant);
     };
 
-/// Reads and commits rows; calls back exactly once, from any thread.
+/// Reads and commits rows. Calls back exactly once, on any thread.
 template <typename T>
 concept TableClient =
     requires(T Client, const TableRead &Read, const Transaction &Commit,
--- a/src/daemon/admin.cpp
+++ b/src/daemon/admin.cpp
@@ -1,4 +1,4 @@
-// Paths of the admin interface.
+// Request handlers of the admin interface.
 #include "daemon/admin.h"
 
 #include "daemon/status_json.h"
@@ -10,6 +10,7 @@
 
 namespace {
 
+/// How long a handler waits for the core thread.
 constexpr std::chrono::seconds AnswerTimeout{2};
 constexpr const char *JsonType = "application/json";
 
@@ -39,9 +40,9 @@
     Promise->set_value(Evaluate(Subject, Now));
   }};
   if (!m_Shared.m_Inbox.tryPost(Item))
-    return errorResponse(503, "the daemon is too busy");
+    return errorResponse(503, "the event queue of the daemon is full");
   if (Answer.wait_for(AnswerTimeout) != std::future_status::ready)
-    return errorResponse(503, "the daemon does not answer");
+    return errorResponse(503, "no answer from the core thread within 2 s");
   const nlohmann::json Result = Answer.get();
   return {Result.contains("error") ? 404U : 200U, JsonType,
           Result.dump() + "\n"};
@@ -76,7 +77,7 @@
     return errorResponse(405, "use POST");
   Event Item = ShutdownRequested{.m_Exit = false};
   if (!m_Shared.m_Inbox.tryPost(Item))
-    return errorResponse(503, "the daemon is too busy");
+    return errorResponse(503, "the event queue of the daemon is full");
   return {202, JsonType, "{\"draining\":true}\n"};
 }
 
--- a/src/daemon/admin.h
+++ b/src/daemon/admin.h
@@ -1,4 +1,4 @@
-// Status, owners and metrics of a daemon over HTTP.
+// HTTP admin interface of a daemon: status, routes, owners, metrics, draining.
 #pragma once
 
 #include "adapters/http_server/control_server.h"
@@ -9,7 +9,7 @@
 
 namespace balsamwheel::daemon {
 
-/// Answers operators. Questions about the node run on the core thread.
+/// Serves admin requests. Queries about the node run on the core thread.
 class Admin {
 public:
   Admin(const std::string &Listen, CoreShared &Shared);
@@ -24,7 +24,10 @@
 
   Response handle(const Request &Incoming);
   Response drain(const Request &Incoming);
-  /// Runs a question on the core thread and waits for its answer.
+  /// Runs \p Evaluate on the core thread and waits for its result.
+  ///
+  /// \returns 503 if the event queue is full or the answer is late, 404 if the
+  /// result has an "error" field.
   template <typename Query> Response queryCore(const Query &Evaluate);
 
   CoreShared &m_Shared;
--- a/src/daemon/body_streams.cpp
+++ b/src/daemon/body_streams.cpp
@@ -1,4 +1,4 @@
-// Credits, chunks and the life of pipes.
+// Credit-based transfer of body chunks, and the lifetime of pipes.
 #include "daemon/body_streams.h"
 
 #include "runtime/boot_clock.h"
@@ -15,11 +15,13 @@
 
 namespace {
 
+/// Largest chunk, in bytes.
 constexpr std::size_t ChunkSize = std::size_t{64} * 1024;
+/// Bytes that a sender may have in transit for one stream.
 constexpr std::uint64_t CreditWindow = runtime::DefaultPipeCapacity;
-/// Credit is renewed in portions of this size.
+/// The receiver grants new credit after it has consumed this many bytes.
 constexpr std::uint64_t CreditBatch = CreditWindow / 4;
-/// A pipe without a reader fails after this time.
+/// A pipe that has no reader after this time fails.
 constexpr Duration UnclaimedTimeout = std::chrono::seconds(30);
 
 } // namespace
@@ -29,6 +31,7 @@
   BodyPipePtr m_Pipe;
   PeerAddress m_To;
   std::shared_ptr<const Send> m_Send;
+  /// Bytes that the receiver still accepts.
   std::uint64_t m_Credit = 0;
   std::atomic<bool> m_Ended{false};
 };
@@ -38,8 +41,9 @@
   PeerAddress m_From;
   std::uint64_t m_RemoteId = 0;
   std::shared_ptr<const Send> m_Send;
-  /// Bytes read since credit was last renewed.
+  /// Bytes consumed since credit was last granted.
   std::uint64_t m_ConsumedSinceCredit = 0;
+  /// Body offset expected in the next chunk.
   std::uint64_t m_NextOffset = 0;
 
   void onConsumed(std::size_t Bytes) {
--- a/src/daemon/body_streams.h
+++ b/src/daemon/body_streams.h
@@ -1,4 +1,4 @@
-// Long bodies: the pipes of this daemon, and their way between daemons.
+// Streamed bodies: the pipes of this daemon and their transfer between daemons.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -18,37 +18,46 @@
 
 namespace balsamwheel::daemon {
 
-/// Names pipes, and moves their bytes in chunks as far as the receiver's
-/// credit goes. Thread-safe.
+/// Assigns ids to pipes and transfers their bytes in chunks, limited by the
+/// credit that the receiver grants. Thread-safe.
 ///
-/// Invariants: a pipe has one reader, in this process or on one other daemon;
-/// bytes on their way for one stream never exceed the credit given.
+/// Invariants: a pipe has at most one reader, in this process or on one other
+/// daemon; the bytes in transit for a stream never exceed the granted credit.
 class BodyStreams {
 public:
   using Send = std::function<void(const PeerAddress &To, PeerMessage Message)>;
 
-  /// \param FirstId the first pipe's id; distinct per run.
+  /// \param FirstId id of the first pipe; should differ between runs.
   BodyStreams(Send SendMessage, std::uint64_t FirstId);
   ~BodyStreams();
 
-  /// Makes a pipe that is written in this process.
+  /// Creates a pipe that is written in this process.
+  ///
+  /// \param Prefix the bytes that are already known.
+  /// \param Length length of the whole body in bytes, if known.
   runtime::BodyPipePtr create(std::string_view Prefix,
                               std::optional<std::uint64_t> Length);
-  /// Gives a body that another daemon holds a local pipe.
+  /// Creates a local pipe for a body that another daemon holds. The transfer
+  /// starts when the pipe is claimed.
   ///
-  /// \returns the local name of the body.
+  /// \param RemoteId id of the pipe at \p From.
+  /// \returns the id of the local pipe.
   std::uint64_t openRemote(const PeerAddress &From, std::uint64_t RemoteId,
                            std::string_view Prefix,
                            std::optional<std::uint64_t> Length);
-  /// Takes a pipe for reading in this process; null when it is unknown or
-  /// has a reader.
+  /// Claims a pipe for reading in this process.
+  ///
+  /// \returns null if the pipe is unknown or already has a reader.
   runtime::BodyPipePtr claim(std::uint64_t Id);
   void onMessage(const PeerAddress &From, BodyMessage Message);
+  /// Fails the bodies in transit to or from \p Peer.
   void onPeerLost(const PeerAddress &Peer);
-  /// Fails pipes that nobody reads, and forgets those that ended.
+  /// Fails pipes that have stayed without a reader for too long and removes
+  /// those that have ended.
   void expire(TimePoint Now);
-  /// Fails every pipe.
+  /// Fails and removes all pipes.
   void failAll();
+  /// Returns the number of pipes.
   std::size_t size() const;
 
 private:
@@ -56,6 +65,7 @@
   struct Outgoing;
   /// A body that another daemon sends to this one.
   struct Incoming;
+  /// The peer and the stream id used in its messages.
   using RemoteStream = std::pair<PeerAddress, std::uint64_t>;
   struct RemoteStreamHash {
     std::size_t operator()(const RemoteStream &Remote) const noexcept {
@@ -65,19 +75,22 @@
   struct Entry {
     runtime::BodyPipePtr m_Pipe;
     TimePoint m_CreatedAt;
-    /// Set for a body of another daemon.
+    /// Set if another daemon sends the body.
     std::shared_ptr<Incoming> m_Incoming;
   };
 
   void receive(const PeerAddress &From, BodyChunk Chunk);
   void receive(const PeerAddress &From, const BodyCredit &Credit);
   void receive(const PeerAddress &From, const BodyCancel &Cancel);
+  /// Sends chunks until the credit is used up or no bytes are available.
   static void pump(const std::shared_ptr<Outgoing> &Stream);
 
   const std::shared_ptr<const Send> m_Send;
   mutable std::mutex m_Mutex;
   std::uint64_t m_NextId;
+  /// By local id.
   std::unordered_map<std::uint64_t, Entry> m_Pipes;
+  /// Local ids of the bodies that other daemons send.
   std::unordered_map<RemoteStream, std::uint64_t, RemoteStreamHash> m_LocalIds;
   std::unordered_map<RemoteStream, std::shared_ptr<Outgoing>, RemoteStreamHash>
       m_Outgoing;
--- a/src/daemon/core.h
+++ b/src/daemon/core.h
@@ -1,4 +1,4 @@
-// The core thread: feeds events to the node and carries out its effects.
+// The core thread: passes events to the node and executes its effects.
 #pragma once
 
 #include "balsamwheel/detail/node/node.h"
@@ -18,15 +18,15 @@
 
 namespace balsamwheel::daemon {
 
-/// What the core hands to other threads.
+/// State that the core shares with other threads.
 struct CoreShared {
   Inbox m_Inbox;
   Metrics m_Metrics;
-  /// The configuration in force; null until one is known.
+  /// The current configuration; null until one is known.
   std::atomic<std::shared_ptr<const Config>> m_Config;
 };
 
-/// Owns the node. Only run() touches it, on one thread.
+/// Owns the node. Only run() accesses it, on one thread.
 template <CallerEntrance Callers, TargetClient Target, TableClient Table,
           PeerTransport Peers>
 class Core {
@@ -44,7 +44,7 @@
       : m_Node(std::move(Subject)), m_Shared(Shared), m_Adapters(Adapters),
         m_ShutdownLimit(ShutdownLimit) {}
 
-  /// Runs until a shutdown was asked for and everything is drained.
+  /// Runs until a requested shutdown is complete: drained, or out of time.
   void run() {
     m_Node.start(runtime::bootNow());
     executeEffects();
@@ -63,7 +63,7 @@
   }
 
 private:
-  /// A request between its arrival and its answer, for logs and metrics.
+  /// A caller's open request, kept for logs and metrics.
   struct TrackedRequest {
     RequestId m_Id;
     ServiceName m_Service;
@@ -72,11 +72,12 @@
     std::uint64_t m_BodyStream = 0;
   };
 
+  /// Period of metric updates and pipe expiry.
   static constexpr Duration HousekeepingPeriod = std::chrono::milliseconds(250);
-  /// How often the end of a shutdown is looked for.
+  /// How often a shutdown is checked for completion.
   static constexpr Duration ShutdownPollPeriod = std::chrono::milliseconds(10);
-
-  /// Lets the last messages to other daemons leave before the process ends.
+  /// Delay between the end of all work and the end of the process, for sending
+  /// the last messages to other daemons.
   static constexpr Duration ShutdownLinger = std::chrono::milliseconds(250);
 
   TimePoint wakeTime(TimePoint Now) const {
@@ -118,7 +119,8 @@
     if (!m_ShuttingDown)
       return false;
     if (Now - m_ShutdownStart > m_ShutdownLimit) {
-      LOG4CPLUS_WARN(logger(), "the shutdown reached its time limit");
+      LOG4CPLUS_WARN(logger(),
+                     "shutdown time limit reached with work still open");
       return true;
     }
     if (!m_Node.drained()) {
@@ -164,8 +166,7 @@
   }
 
   void handle(const PeerLost &Item, TimePoint Now) {
-    LOG4CPLUS_DEBUG(logger(),
-                    "lost the connection with " << Item.m_Peer.value());
+    LOG4CPLUS_DEBUG(logger(), "lost the connection to " << Item.m_Peer.value());
     m_Node.onPeerLost(Item.m_Peer, Now);
   }
 
@@ -191,7 +192,8 @@
   }
 
   void handle(const TargetLeft &, TimePoint Now) {
-    LOG4CPLUS_INFO(logger(), "the target left or fell silent");
+    LOG4CPLUS_INFO(logger(),
+                   "the target is leaving or has sent no heartbeat in time");
     m_Node.onTargetLeaving(Now);
   }
 
@@ -259,13 +261,14 @@
     m_Adapters.m_Target.startOrder(std::move(Command), std::move(Upload));
   }
 
-  /// The body is gone, so nothing was sent.
+  /// Reports an order that wasn't sent because its body is no longer available.
   void reportNotSent(OrderId Order) {
     Event Report = OrderEnded{};
     std::get<OrderEnded>(Report).m_Report.m_Order = Order;
     std::get<OrderEnded>(Report).m_Report.m_End = OrderEnd::NotSent;
     if (!m_Shared.m_Inbox.tryPost(Report))
-      LOG4CPLUS_ERROR(logger(), "the inbox is full; an order's end is lost");
+      LOG4CPLUS_ERROR(logger(),
+                      "event queue full; the end of an order is lost");
   }
 
   void execute(const CancelOrder &Command) {
@@ -278,7 +281,7 @@
 
   void execute(const ResetPeer &Command) {
     LOG4CPLUS_INFO(logger(),
-                   "resetting the connection with " << Command.m_Peer.value());
+                   "resetting the connection to " << Command.m_Peer.value());
     m_Adapters.m_Peers.reset(Command.m_Peer);
   }
 
@@ -321,7 +324,7 @@
   std::unordered_map<RequestHandle, TrackedRequest> m_TrackedRequests;
   TimePoint m_NextHousekeeping;
   TimePoint m_ShutdownStart;
-  /// When a shutdown last saw something open.
+  /// When open work was last seen during a shutdown.
   TimePoint m_LastBusy;
   bool m_Draining = false;
   bool m_ShuttingDown = false;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,4 +1,4 @@
-// Wiring of adapters, rings and the core.
+// Construction, start and shutdown order of the daemon's parts.
 #include "daemon/daemon.h"
 
 #include "adapters/caller_http/caller_server.h"
@@ -146,8 +146,9 @@
     };
   }
 
-  /// Ends all threads but the calling one. Bodies fail first, so that no
-  /// thread waits for another.
+  /// Stops all threads other than the calling one. Streamed bodies fail before
+  /// the threads that read or write them are joined, so that none of these
+  /// blocks on another.
   void stop() {
     m_Shared.m_Inbox.close();
     m_Admin.stop();
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-// The daemon as a whole: builds its parts, joins them, runs them.
+// The complete daemon: creates, connects and runs its parts.
 #pragma once
 
 #include "daemon/settings.h"
@@ -8,17 +8,19 @@
 
 namespace balsamwheel::daemon {
 
-/// Lives as long as the process. Starts threads; reads no command line.
+/// Meant to live as long as the process. Starts threads.
 class Daemon {
 public:
   explicit Daemon(Settings InitialSettings);
   ~Daemon();
 
   /// Opens all listening sockets.
+  ///
+  /// \returns the first error; it is also logged.
   std::error_code start();
   /// Runs the core on the calling thread until a shutdown is complete.
   void run();
-  /// Asks for a graceful shutdown; any thread.
+  /// Requests a graceful shutdown. Thread-safe.
   void shutdown();
 
 private:
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -1,4 +1,4 @@
-// The events that reach a daemon's core thread.
+// The event queue of a daemon's core thread.
 #pragma once
 
 #include "balsamwheel/detail/node/node.h"
@@ -58,13 +58,13 @@
 
 struct TargetLeft {};
 
-/// Hand everything over.
+/// Drain: hand over all shards and finish open requests.
 struct ShutdownRequested {
-  /// End the process afterwards.
+  /// Whether the process ends afterwards.
   bool m_Exit = true;
 };
 
-/// Runs a function on the core thread, for status pages.
+/// Runs a function on the core thread, for status queries.
 struct Inspect {
   std::function<void(const Node &Subject, TimePoint Now)> m_Visit;
 };
@@ -75,26 +75,27 @@
                  OrderHeadReceived, OrderEnded, TargetReady, TargetLeft,
                  ShutdownRequested, Inspect>;
 
-/// The bounded ring in front of the core thread. Requests and messages from
-/// peers are dropped when it is full; replies wait for room.
+/// Bounded event queue of the core thread. When it is full, requests and
+/// messages from peers are dropped (tryPost()), and replies wait (post()).
 class Inbox {
 public:
   explicit Inbox(std::size_t Capacity = DefaultCapacity)
       : m_Mailbox(Capacity, m_Waker) {}
 
-  /// False when full.
+  /// \returns false if the queue is full.
   bool tryPost(Event &Value) { return m_Mailbox.tryPush(Value); }
-  /// Waits for room, unless nobody takes events any more. Not for the core
-  /// thread.
+  /// Blocks while the queue is full. Drops the event after close(). Must not be
+  /// called on the core thread.
   void post(Event Value) {
     while (!m_Closed && !m_Mailbox.tryPush(Value))
       std::this_thread::sleep_for(FullRetryDelay);
   }
-  /// The core thread takes nothing more.
+  /// Call when the core thread takes no more events, so that post() can't
+  /// block.
   void close() { m_Closed = true; }
 
   bool tryTake(Event &Value) { return m_Mailbox.tryPop(Value); }
-  /// Sleeps until something is posted or \p Until.
+  /// Sleeps until an event is posted or \p Until is reached.
   void sleepUntil(TimePoint Until) {
     if (!m_Mailbox.prepareToSleep())
       return;
@@ -104,7 +105,9 @@
   std::size_t size() const { return m_Mailbox.size(); }
 
 private:
+  /// Events.
   static constexpr std::size_t DefaultCapacity = 8192;
+  /// Delay between attempts to post to a full queue.
   static constexpr std::chrono::microseconds FullRetryDelay{100};
 
   runtime::EventWaker m_Waker;
--- a/src/daemon/logging.cpp
+++ b/src/daemon/logging.cpp
@@ -1,4 +1,4 @@
-// Layouts of log lines.
+// Set-up of the logger and layouts of log lines.
 #include "daemon/logging.h"
 
 #include <log4cplus/consoleappender.h>
@@ -21,7 +21,7 @@
 constexpr const char *TextPattern =
     "%D{%Y-%m-%dT%H:%M:%S.%q} %-5p [%X{instance}] [%X{request_id}] %m%n";
 
-/// One JSON object a line.
+/// Writes each line as a JSON object.
 class JsonLayout : public log4cplus::Layout {
 public:
   explicit JsonLayout(std::string Instance) : m_Instance(std::move(Instance)) {}
@@ -47,7 +47,7 @@
   const std::string m_Instance;
 };
 
-/// Text lines name the instance, too.
+/// Returns the pattern of text lines with the instance name filled in.
 std::string textPattern(const std::string &Instance) {
   std::string Result = TextPattern;
   const std::string Field = "%X{instance}";
--- a/src/daemon/logging.h
+++ b/src/daemon/logging.h
@@ -1,4 +1,4 @@
-// The daemon's log lines.
+// The daemon's logger.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -9,13 +9,13 @@
 
 namespace balsamwheel::daemon {
 
-/// Sends log lines to standard error in the format asked for.
+/// Configures output, format and level of the logger as given in the settings.
 void configureLogging(const Settings &Given);
 
 /// The daemon's logger.
 log4cplus::Logger &logger();
 
-/// Puts a request's id on the lines logged while it lives.
+/// Adds a request id to the lines that this thread logs during its lifetime.
 class RequestLogScope {
 public:
   explicit RequestLogScope(const RequestId &Id);
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -1,4 +1,4 @@
-// Names, labels and buckets of the metrics.
+// Names, help texts, labels and buckets of the metrics.
 #include "daemon/metrics.h"
 
 #include <prometheus/text_serializer.h>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Seconds; fine where counters wait, coarse where downloads run.
+/// Upper bounds in seconds: fine for interactive requests, coarse for long
+/// downloads.
 const prometheus::Histogram::BucketBoundaries LatencyBuckets{
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
     0.2,    0.5,   1,     2,     5,    10,   30};
@@ -51,21 +52,22 @@
                           .Register(m_Registry)),
       m_OrderFamily(prometheus::BuildCounter()
                         .Name("balsamwheel_orders_total")
-                        .Help("Orders to the local target by their end.")
+                        .Help("Orders to the local target by result.")
                         .Register(m_Registry)),
       m_OrderLatency(prometheus::BuildHistogram()
                          .Name("balsamwheel_order_seconds")
-                         .Help("Time from an order to its answer.")
+                         .Help("Time from sending an order to its end.")
                          .Register(m_Registry)
                          .Add({}, LatencyBuckets)),
       m_ControlMessages(addCounter("balsamwheel_control_messages_total",
-                                   "Control messages sent to daemons.")),
+                                   "Control messages sent to other daemons.")),
       m_RequestMessages(addCounter("balsamwheel_request_messages_total",
-                                   "Request messages sent to daemons.")),
-      m_BodyBytes(addCounter("balsamwheel_body_bytes_total",
-                             "Bytes of long bodies sent to daemons.")),
+                                   "Request messages sent to other daemons.")),
+      m_BodyBytes(
+          addCounter("balsamwheel_body_bytes_total",
+                     "Bytes of streamed bodies sent to other daemons.")),
       m_Dropped(addCounter("balsamwheel_events_dropped_total",
-                           "Events refused because the inbox was full.")),
+                           "Events dropped because the event queue was full.")),
       m_Damaged(addCounter("balsamwheel_answers_damaged_total",
                            "Forwarded answers with a wrong length or hash.")),
       m_TableReads(addCounter("balsamwheel_table_reads_total",
@@ -74,19 +76,20 @@
                                 "Transactions on the platform's table.")),
       m_Queue(addGauge("balsamwheel_queue_depth",
                        "Requests waiting for a slot at the target.")),
-      m_Running(
-          addGauge("balsamwheel_orders_running", "Orders at the target.")),
+      m_Running(addGauge("balsamwheel_orders_running",
+                         "Orders running at the target.")),
       m_Limit(addGauge("balsamwheel_concurrency_limit",
-                       "Orders admitted to the target at a time.")),
+                       "Limit of concurrent orders at the target.")),
       m_Inbox(addGauge("balsamwheel_inbox_depth",
                        "Events waiting for the core thread.")),
-      m_Pipes(addGauge("balsamwheel_body_pipes", "Long bodies on their way.")),
+      m_Pipes(
+          addGauge("balsamwheel_body_pipes", "Streamed bodies in transit.")),
       m_OutcomesKept(addGauge("balsamwheel_outcomes_kept",
-                              "Remembered outcomes of requests.")),
-      m_RequestsOpen(addGauge("balsamwheel_requests_open",
-                              "Requests without an answer yet.")),
+                              "Stored outcomes of requests.")),
+      m_RequestsOpen(
+          addGauge("balsamwheel_requests_open", "Requests not yet answered.")),
       m_LeaseHeld(addGauge("balsamwheel_lease_held",
-                           "1 while the session's lease holds.")),
+                           "1 while the session holds its lease.")),
       m_LeaseExtended(addGauge("balsamwheel_lease_extended",
                                "1 while witnesses extend the lease.")),
       m_LeaseLeft(addGauge("balsamwheel_lease_left_seconds",
@@ -95,15 +98,15 @@
                                "Version of the configuration in force.")),
       m_MapVersion(
           addGauge("balsamwheel_map_version", "Version of the shard map.")),
-      m_Members(addGauge("balsamwheel_members", "Live sessions known.")),
+      m_Members(addGauge("balsamwheel_members", "Known live sessions.")),
       m_ShardsOwned(
           addGauge("balsamwheel_shards_owned", "Shards this session owns.")),
       m_ShardsPending(addGauge("balsamwheel_shards_pending",
-                               "Owned shards that wait for a handover.")),
+                               "Owned shards that wait for their handover.")),
       m_TargetLoad(addGauge("balsamwheel_target_reported_load",
-                            "Load as the target reports it.")),
+                            "Load reported by the target.")),
       m_TargetHealthy(addGauge("balsamwheel_target_reported_healthy",
-                               "Health as the target reports it.")) {
+                               "1 while the target reports itself healthy.")) {
   for (const OrderEnd End :
        {OrderEnd::Answered, OrderEnd::Shed, OrderEnd::NotSent, OrderEnd::Failed,
         OrderEnd::Aborted})
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -1,4 +1,4 @@
-// The daemon's metrics.
+// The daemon's Prometheus metrics.
 #pragma once
 
 #include "balsamwheel/detail/core/outcome.h"
@@ -18,24 +18,25 @@
 
 namespace balsamwheel::daemon {
 
-/// Messages and bytes of one kind between daemons.
+/// Counters of the messages and bytes of one kind sent between daemons.
 struct TrafficCounters {
   prometheus::Counter *m_Messages = nullptr;
   prometheus::Counter *m_Bytes = nullptr;
 };
 
-/// Thread-safe, but for the caches of the core thread: recordRequest() and
-/// update() belong to it.
+/// Thread-safe, except recordRequest() and update(): only the core thread may
+/// call them, because they use caches without a lock.
 class Metrics {
 public:
   Metrics();
 
-  /// A caller got its answer. Complexity: logarithmic in the series.
+  /// Records the answer to a caller. Complexity: logarithmic in the number of
+  /// series.
   void recordRequest(const ServiceName &Service, const ClassName &Class,
                      Outcome Result, Reason Why, Duration Latency);
-  /// A request was refused before it reached the core.
+  /// Records a request that was refused before it reached the core.
   void recordRefusal(Reason Why);
-  /// An order ended at the target.
+  /// Records the end of an order at the target.
   void recordOrderEnd(OrderEnd End, Duration Latency);
   void setTargetLoad(double Load, bool Healthy);
   void update(const NodeStatus &Status, std::size_t InboxSize,
@@ -48,11 +49,11 @@
   prometheus::Counter &tableReads() { return m_TableReads; }
   prometheus::Counter &tableCommits() { return m_TableCommits; }
 
-  /// The text for a scraper.
+  /// Returns all metrics in the Prometheus text format.
   std::string serialize() const;
 
 private:
-  /// The series of one service and class.
+  /// The series of one service and request class.
   struct ClassSeries {
     prometheus::Histogram *m_Latency = nullptr;
     std::map<std::pair<Outcome, Reason>, prometheus::Counter *> m_Outcomes;
--- a/src/daemon/peer_gate.cpp
+++ b/src/daemon/peer_gate.cpp
@@ -1,4 +1,4 @@
-// Sorting of messages between daemons.
+// Dispatch of messages from other daemons.
 #include "daemon/peer_gate.h"
 
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// An unknown length travels as 0.
+/// On the wire, length 0 means unknown.
 std::optional<std::uint64_t> lengthFromWire(std::uint64_t Length) {
   if (Length == 0)
     return std::nullopt;
@@ -55,7 +55,8 @@
   } else if (auto *Reply = std::get_if<ForwardReply>(&Message)) {
     if (!isIntact(*Reply)) {
       m_Shared.m_Metrics.damagedAnswers().Increment();
-      LOG4CPLUS_ERROR(logger(), "dropped a damaged answer of " << From.value());
+      LOG4CPLUS_ERROR(logger(),
+                      "dropped a corrupt answer from " << From.value());
       return;
     }
     HttpAnswer &Http = Reply->m_Http;
--- a/src/daemon/peer_gate.h
+++ b/src/daemon/peer_gate.h
@@ -1,4 +1,4 @@
-// Takes messages of other daemons from the transport's thread to the core.
+// Passes messages from other daemons from the transport's thread to the core.
 #pragma once
 
 #include "balsamwheel/detail/wire/peer.h"
@@ -7,7 +7,9 @@
 
 namespace balsamwheel::daemon {
 
-/// Bodies bypass the core; names of bodies become local on the way in.
+/// Body messages go directly to BodyStreams. In forwarded requests and replies,
+/// stream ids of the sender are replaced by local ones. Corrupt replies are
+/// dropped.
 class PeerReceiver {
 public:
   PeerReceiver(CoreShared &Shared, BodyStreams &Bodies)
@@ -24,7 +26,8 @@
   BodyStreams &m_Bodies;
 };
 
-/// Whether an inline body has the length and hash it came with.
+/// Whether an inline body matches the length and hash in its message. Also true
+/// if there is no inline body to check.
 bool isIntact(const ForwardReply &Reply);
 
 } // namespace balsamwheel::daemon
--- a/src/daemon/program/main.cpp
+++ b/src/daemon/program/main.cpp
@@ -1,4 +1,4 @@
-// balsamwheeld: command line and signals of the daemon.
+// balsamwheeld: command line and signal handling of the daemon.
 #include "daemon/daemon.h"
 #include "daemon/logging.h"
 
@@ -24,15 +24,16 @@
   bool m_Check = false;
 };
 
-/// Returns an exit code instead when there is nothing to run.
+/// Returns the arguments, or an exit code if the daemon shouldn't run.
 std::variant<Arguments, ExitCode> parseArguments(int Count, char **Values) {
   cxxopts::Options Options(
       "balsamwheeld",
-      "Routes requests to the owners of their keys, beside one target.\n"
-      "Exit codes: 0 done, 2 bad usage, 3 bad settings, 4 cannot start.\n");
+      "Routes requests to the owners of their keys. Runs next to one target.\n"
+      "Exit codes: 0 success, 2 invalid usage, 3 invalid settings, 4 cannot "
+      "start.\n");
   Options.add_options()("s,settings", "Settings file (YAML)",
                         cxxopts::value<std::string>(), "FILE")(
-      "check", "Check the settings and exit")("h,help", "Show this help");
+      "check", "Validate the settings and exit")("h,help", "Show this help");
   try {
     const cxxopts::ParseResult Given = Options.parse(Count, Values);
     if (Given.count("help") > 0) {
@@ -40,8 +41,8 @@
       return Success;
     }
     if (Given.count("settings") == 0 || !Given.unmatched().empty()) {
-      std::cerr << "balsamwheeld: --settings FILE is needed, and nothing "
-                   "besides\n";
+      std::cerr << "balsamwheeld: --settings FILE is required; operands "
+                   "are not allowed\n";
       return BadUsage;
     }
     return Arguments{.m_Settings = Given["settings"].as<std::string>(),
@@ -62,7 +63,8 @@
   return std::nullopt;
 }
 
-/// Signals that ask for a shutdown; blocked in every thread.
+/// Blocks the signals that request a shutdown, for this thread and all threads
+/// that it starts. Ignores SIGPIPE.
 sigset_t blockSignals() {
   sigset_t Signals;
   sigemptyset(&Signals);
@@ -73,7 +75,7 @@
   return Signals;
 }
 
-/// Turns each signal into a request to shut down.
+/// Requests a shutdown for each signal received. Never returns normally.
 void awaitSignals(const sigset_t &Signals, Daemon &Process) {
   int Signal = 0;
   while (sigwait(&Signals, &Signal) == 0)
@@ -91,7 +93,7 @@
   if (!Read)
     return BadSettings;
   if (Given.m_Check) {
-    std::cout << Given.m_Settings << ": no faults\n";
+    std::cout << Given.m_Settings << ": settings are valid\n";
     return Success;
   }
   const sigset_t Signals = blockSignals();
@@ -105,6 +107,6 @@
   std::thread(awaitSignals, Signals, std::ref(Process)).detach();
   Process.run();
   LOG4CPLUS_INFO(logger(), "stopped");
-  // The thread that waits for signals never ends.
+  // Skips destructors, because the thread that waits for signals never ends.
   std::_Exit(Success);
 }
--- a/src/daemon/section_reader.cpp
+++ b/src/daemon/section_reader.cpp
@@ -1,4 +1,4 @@
-// Types, ranges, unknown and duplicate fields of YAML mappings.
+// Checks types and ranges, and finds unknown and duplicate fields.
 #include "daemon/section_reader.h"
 
 #include <utility>
@@ -44,7 +44,7 @@
     return;
   }
   if (!Value.IsScalar() || Value.Scalar().empty()) {
-    report(Value.Mark(), fieldPath(Name), "must be a text that is not empty");
+    report(Value.Mark(), fieldPath(Name), "must be a non-empty string");
     return;
   }
   const std::string Message = Check ? Check(Value.Scalar()) : std::string();
@@ -117,9 +117,9 @@
     const std::string Name =
         Item.first.IsScalar() ? Item.first.Scalar() : std::string("?");
     if (!m_ReadFields.contains(Name))
-      report(Item.first.Mark(), fieldPath(Name), "is no known field");
+      report(Item.first.Mark(), fieldPath(Name), "is not a known field");
     else if (!Seen.insert(Name).second)
-      report(Item.first.Mark(), fieldPath(Name), "is given twice");
+      report(Item.first.Mark(), fieldPath(Name), "is a duplicate field");
   }
 }
 
--- a/src/daemon/section_reader.h
+++ b/src/daemon/section_reader.h
@@ -1,4 +1,4 @@
-// Reads one YAML mapping field by field and collects every fault.
+// Reads a YAML mapping field by field and collects all errors.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -16,20 +16,22 @@
 
 namespace balsamwheel::daemon {
 
-/// What is shared by the sections of one file.
+/// State that the sections of one file share.
 struct ReadContext {
   std::string m_File;
   std::vector<SettingsError> m_Errors;
 };
 
-/// Fields that are absent keep their defaults. Call finish() last: it reports
-/// fields that nobody asked for.
+/// Reads one mapping. Absent fields leave their targets unchanged. Call
+/// finish() last: it reports the fields that were never read.
 class SectionReader {
 public:
   SectionReader(ReadContext &Context, const YAML::Node &Section,
                 std::string Path);
 
-  /// \p Check returns the fault of a value, or an empty string.
+  /// Reads a non-empty string.
+  ///
+  /// \param Check returns an error message for a value; empty if it is valid.
   void text(const char *Name, std::string &Target, bool Required = false,
             const std::function<std::string(const std::string &)> &Check = {});
   void flag(const char *Name, bool &Target);
@@ -44,7 +46,7 @@
       Target = static_cast<Number>(*Value);
   }
 
-  /// Reads one of several words.
+  /// Reads one of the named values in \p Choices.
   template <typename Value>
   void choice(const char *Name, Value &Target,
               const std::vector<std::pair<std::string, Value>> &Choices) {
@@ -63,9 +65,10 @@
         Target = Mapped;
   }
 
-  /// Reads a nested mapping; absent means all defaults.
+  /// Reads a nested mapping. An absent mapping counts as empty.
   void section(const char *Name,
                const std::function<void(SectionReader &)> &Read);
+  /// Reports unknown and duplicate fields.
   void finish();
 
 private:
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -1,4 +1,4 @@
-// The fields of a settings file.
+// Fields, ranges and cross-field checks of the settings file.
 #include "daemon/settings.h"
 
 #include "adapters/http_server/listen_address.h"
@@ -12,13 +12,14 @@
 
 namespace {
 
+/// Upper limits of most fields: one hour, and a count.
 constexpr std::int64_t MaxMs = 3'600'000;
 constexpr std::int64_t MaxCount = 1'000'000;
 
 std::string checkAddress(const std::string &Text) {
   return http_server::parseListenAddress(Text)
              ? std::string()
-             : "must be an IPv4 number and a port, as in 127.0.0.1:7000";
+             : "must be an IPv4 address and a port, such as 127.0.0.1:7000";
 }
 
 constexpr std::string_view UrlScheme = "http://";
@@ -27,7 +28,7 @@
   return Text.starts_with(UrlScheme) &&
                  checkAddress(Text.substr(UrlScheme.size())).empty()
              ? std::string()
-             : "must be as in http://127.0.0.1:7000";
+             : "must be a URL such as http://127.0.0.1:7000";
 }
 
 void readPlatform(SectionReader &In, Settings &Out) {
@@ -148,7 +149,7 @@
   return Out;
 }
 
-/// Faults that concern several fields at once.
+/// Checks conditions that involve several fields.
 void checkFieldRelations(const Settings &Given, ReadContext &Context) {
   const CoordinationTiming &Timing = Given.m_Node.m_Coordinator.m_Timing;
   const auto AddError = [&Context](const char *Field, const char *Reason) {
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -1,4 +1,4 @@
-// A daemon's settings, read from YAML and checked whole.
+// A daemon's settings, read from a YAML file and validated.
 #pragma once
 
 #include "balsamwheel/detail/node/node.h"
@@ -16,52 +16,56 @@
   InstanceName m_Instance;
   DomainName m_Domain;
   RegionName m_Region;
-  /// "host:port" for other daemons.
+  /// "host:port" to listen on for other daemons.
   std::string m_PeerListen;
-  /// "host:port" where other daemons reach m_PeerListen.
+  /// "host:port" at which other daemons reach m_PeerListen.
   std::string m_PeerAdvertised;
-  /// "host:port" for callers.
+  /// "host:port" to listen on for callers.
   std::string m_CallerListen;
-  /// "host:port" where the target announces itself.
+  /// "host:port" to listen on for the target's announcements.
   std::string m_TargetListen;
-  /// "host:port" for status and metrics.
+  /// "host:port" to listen on for the admin interface.
   std::string m_AdminListen;
+  /// "host:port" of the platform.
   std::string m_PlatformAddress;
+  /// Time-out of one call to the platform.
   Duration m_PlatformTimeout = std::chrono::seconds(2);
+  /// Maximum number of open connections from callers.
   unsigned m_CallerConnections = 4096;
+  /// Maximum number of open connections with other daemons.
   unsigned m_PeerConnections = 2048;
-  /// A target silent for this long is gone.
+  /// A target that has sent nothing for this long counts as gone.
   Duration m_TargetSilence = std::chrono::seconds(3);
-  /// A shutdown that takes longer ends anyhow.
+  /// A shutdown ends after this time even if work is still open.
   Duration m_ShutdownLimit = std::chrono::seconds(60);
   std::string m_LogLevel = "info";
-  /// Standard error when empty.
+  /// Log file; standard error if empty.
   std::string m_LogFile;
   LogFormat m_LogFormat = LogFormat::Text;
   NodeOptions m_Node;
 };
 
-/// A fault in a settings file.
+/// An error in a settings file.
 struct SettingsError {
   std::string m_File;
-  /// From 1; 0 when the file could not be read.
+  /// Line number from 1; 0 if the file could not be read.
   int m_Line = 0;
   /// Dotted path of the field.
   std::string m_Field;
   std::string m_Reason;
 };
 
-/// "FILE:LINE: FIELD: REASON".
+/// Formats an error as "FILE:LINE: FIELD: REASON".
 std::string toString(const SettingsError &Error);
 
 /// Reads settings from YAML text.
 ///
-/// \param File name used in errors.
-/// \returns every fault found, or the settings.
+/// \param File the file name to report in errors.
+/// \returns the settings, or all errors found.
 std::variant<Settings, std::vector<SettingsError>>
 parseSettings(const std::string &Text, const std::string &File);
 
-/// Reads a settings file.
+/// Reads settings from a file; an unreadable file is reported as an error.
 std::variant<Settings, std::vector<SettingsError>>
 loadSettings(const std::string &File);
 
--- a/src/daemon/status_json.cpp
+++ b/src/daemon/status_json.cpp
@@ -1,4 +1,4 @@
-// Fields of the status documents.
+// Contents of the JSON status documents.
 #include "daemon/status_json.h"
 
 #include "balsamwheel/detail/core/hash.h"
@@ -9,7 +9,8 @@
 
 using Json = nlohmann::json;
 
-/// Session ids exceed what JSON readers keep exactly as a number.
+/// Session ids are written as strings, since they exceed the integers that many
+/// JSON parsers represent exactly.
 Json sessionJson(SessionId Id) { return std::to_string(Id.value()); }
 
 Json memberJson(const Member &Value) {
@@ -41,7 +42,7 @@
           {"shards_pending", Value.m_ShardsPending}};
 }
 
-/// Why a route looks as it does.
+/// Explains how the owner in a route was chosen.
 const char *routeReason(const Route &Found, const Member *Owner) {
   if (Found.m_Owner == SessionId())
     return "no owner is known";
@@ -103,7 +104,8 @@
     return unknownService(Service);
   if (!Known->m_DividedByKey)
     return {{"service", Service.value()},
-            {"reason", "the service is not divided by key; any of these"},
+            {"reason", "the service is not divided by key; any candidate may "
+                       "serve the request"},
             {"candidates", candidatesJson(Subject, Service)}};
   Json Result =
       routeFields(Subject, Subject.coordinator().route(Service, hashKey(Key)));
@@ -123,7 +125,7 @@
   }
   Result["shards"] = Known->m_Shards;
   Json Owners = Json::array();
-  // A hash below the number of shards lies in the shard of that number.
+  // A hash below the number of shards maps to the shard with that index.
   for (std::uint64_t Shard = 0; Shard < Known->m_Shards; ++Shard)
     Owners.push_back(routeFields(
         Subject, Subject.coordinator().route(Service, KeyHash(Shard))));
--- a/src/daemon/status_json.h
+++ b/src/daemon/status_json.h
@@ -1,4 +1,4 @@
-// A node's state as JSON for operators.
+// JSON documents for operators about the state of a node.
 #pragma once
 
 #include "balsamwheel/detail/node/node.h"
@@ -9,14 +9,16 @@
 
 namespace balsamwheel::daemon {
 
-/// State of the node, its members and the configuration.
+/// Returns the state of the node, its coordinator and the known members.
 nlohmann::json statusJson(const Node &Subject, TimePoint Now);
 
-/// Where a key's requests go, and why.
+/// Returns where requests for a key are sent, and the reason. The document has
+/// an "error" field if the service is unknown.
 nlohmann::json routeJson(const Node &Subject, const ServiceName &Service,
                          const std::string &Key);
 
-/// The owner of each shard of a service.
+/// Returns the owner of each shard of a service, or the candidates if it isn't
+/// divided by key. Has an "error" field if the service is unknown.
 nlohmann::json ownersJson(const Node &Subject, const ServiceName &Service);
 
 } // namespace balsamwheel::daemon
--- a/src/manifest/diff.cpp
+++ b/src/manifest/diff.cpp
@@ -1,4 +1,4 @@
-// What changes between two manifests.
+// Compares manifests through their JSON documents, field by field.
 #include "balsamwheel/detail/manifest/diff.h"
 
 #include "balsamwheel/detail/manifest/document.h"
@@ -29,7 +29,8 @@
   return Result;
 }
 
-/// Collects the leaves of a document by path; items of lists by their name.
+/// Collects the leaf values of a document by path. Items of named lists appear
+/// under their name instead of their index.
 void flatten(const Json &Value, const std::string &Path, Fields &Output) {
   if (Value.is_object()) {
     for (const auto &[Key, Item] : Value.items())
@@ -79,17 +80,18 @@
   std::vector<std::string> Result;
   if (!Before.m_Deployment.empty() && Before.m_Deployment != After.m_Deployment)
     Result.push_back("deployment '" + After.m_Deployment +
-                     "' is not the running one, '" + Before.m_Deployment + "'");
+                     "' differs from the running deployment '" +
+                     Before.m_Deployment + "'");
   for (const Service &Old : Before.m_Services) {
     const Service *New = After.findService(Old.m_Name);
     if (New == nullptr)
       continue;
     if (New->m_DividedByKey != Old.m_DividedByKey)
       Result.push_back("services/" + Old.m_Name.value() +
-                       "/divided_by_key cannot change while it runs");
+                       "/divided_by_key cannot change while the service runs");
     else if (New->m_Shards != Old.m_Shards)
       Result.push_back("services/" + Old.m_Name.value() +
-                       "/shards cannot change while it runs");
+                       "/shards cannot change while the service runs");
   }
   return Result;
 }
--- a/src/manifest/reader.cpp
+++ b/src/manifest/reader.cpp
@@ -1,4 +1,4 @@
-// Reads a manifest and checks it whole.
+// Reads and validates manifests.
 #include "balsamwheel/detail/manifest/reader.h"
 
 #include "balsamwheel/detail/manifest/yaml_fields.h"
@@ -19,7 +19,8 @@
 constexpr std::uint64_t MaxBodyBytes = 1UL << 40U;
 constexpr Duration MinDeadline = std::chrono::milliseconds(1);
 constexpr Duration MaxDeadline = std::chrono::minutes(10);
-/// An order for a key must end within the lease of its owner.
+/// Limit for services divided by key: an order must end within the owner's
+/// lease.
 constexpr Duration MaxKeyedDeadline = std::chrono::milliseconds(1500);
 constexpr std::size_t MaxNameLength = 64;
 
@@ -33,12 +34,12 @@
          Text.find_first_not_of(Allowed) == std::string::npos;
 }
 
-/// Reads a name and checks its characters.
+/// Reads a required name and checks its characters and length.
 std::string readName(YamlMap &Map, const std::string &Key) {
   std::string Name = Map.requiredText(Key);
   if (!Name.empty() && !isName(Name))
-    Map.problem(Key, "may hold letters, digits, '-', '_' and '.' only, and at "
-                     "most 64 of them");
+    Map.problem(Key, "must consist of 1 to 64 letters, digits, '-', '_' "
+                     "and '.'");
   return Name;
 }
 
@@ -91,9 +92,9 @@
   Result.m_DividedByKey = Map.flag("divided_by_key").value_or(false);
   const auto Shards = Map.number("shards", {1, MaxShards});
   if (Result.m_DividedByKey && !Map.has("shards"))
-    Map.problem("shards", "is missing; a service divided by key needs it");
+    Map.problem("shards", "is required for a service divided by key");
   if (!Result.m_DividedByKey && Map.has("shards"))
-    Map.problem("shards", "needs divided_by_key: true");
+    Map.problem("shards", "requires divided_by_key: true");
   Result.m_Shards = static_cast<std::uint32_t>(Shards.value_or(0));
 }
 
--- a/src/manifest/yaml_fields.cpp
+++ b/src/manifest/yaml_fields.cpp
@@ -1,4 +1,4 @@
-// Checked access to YAML documents.
+// Validating access to YAML documents.
 #include "balsamwheel/detail/manifest/yaml_fields.h"
 
 #include <algorithm>
@@ -21,6 +21,7 @@
                                      {"m", 60'000'000},
                                      {"h", 3'600'000'000}}};
 
+/// Largest number in front of a duration's unit.
 constexpr std::int64_t MaxDurationNumber = 1'000'000'000;
 
 std::string inRange(Range Allowed) {
@@ -105,7 +106,7 @@
   if (!Value.IsDefined())
     return std::nullopt;
   if (!Value.IsScalar() || Value.Scalar().empty()) {
-    problem(Key, "must be a text that is not empty");
+    problem(Key, "must be a non-empty string");
     return std::nullopt;
   }
   return Value.Scalar();
@@ -171,7 +172,7 @@
   if (!Value.IsDefined())
     return Result;
   if (!Value.IsSequence()) {
-    problem(Key, "must be a list of texts");
+    problem(Key, "must be a list of strings");
     return Result;
   }
   for (std::size_t Index = 0; Index < Value.size(); ++Index) {
@@ -180,7 +181,7 @@
       Result.push_back(Item.Scalar());
     else
       m_Log->add(Item, path(Key) + "[" + std::to_string(Index) + "]",
-                 "must be a text that is not empty");
+                 "must be a non-empty string");
   }
   return Result;
 }
@@ -230,9 +231,9 @@
   std::set<std::string> Seen;
   for (const auto &Entry : m_Node) {
     const std::string Key =
-        Entry.first.IsScalar() ? Entry.first.Scalar() : "(not a text)";
+        Entry.first.IsScalar() ? Entry.first.Scalar() : "(not a string)";
     if (!Seen.insert(Key).second)
-      m_Log->add(Entry.first, path(Key), "is given twice");
+      m_Log->add(Entry.first, path(Key), "is a duplicate field");
     else if (!m_ReadKeys.contains(Key))
       m_Log->add(Entry.first, path(Key), "is not a known field");
   }
--- a/tests/unit-body-streams.cpp
+++ b/tests/unit-body-streams.cpp
@@ -1,4 +1,4 @@
-// Long bodies between daemons: credits, order, loss, damage.
+// Streamed bodies between daemons: credit, order, lost connections, corruption.
 #include "daemon/body_streams.h"
 #include "runtime/boot_clock.h"
 
@@ -17,14 +17,14 @@
 const PeerAddress Owner("owner");
 const PeerAddress Entrance("entrance");
 
-/// Two daemons joined by a queue of messages that the test delivers.
+/// Two daemons connected by a message queue that the test controls.
 struct DaemonPair {
   struct QueuedMessage {
     PeerAddress m_From;
     BodyMessage m_Message;
   };
 
-  /// Delivers everything that is on the way.
+  /// Delivers all messages in transit.
   void deliver() {
     while (!m_InTransit.empty()) {
       QueuedMessage Next = std::move(m_InTransit.front());
@@ -44,18 +44,19 @@
   }
 
   std::deque<QueuedMessage> m_InTransit;
+  /// Applied to each chunk on delivery, if set.
   std::function<void(BodyChunk &)> m_EditChunk;
   BodyStreams m_Owner{sendFrom(Owner), 100};
   BodyStreams m_Entrance{sendFrom(Entrance), 500};
 };
 
-/// What arrived of a body.
+/// The received bytes of a body and the final state of its pipe.
 struct TransferResult {
   std::string m_Received;
   PipeState m_End = PipeState::Open;
 };
 
-/// Moves a body from the owner to the entrance.
+/// Transfers a body from the owner to the entrance.
 TransferResult transferBody(DaemonPair &Daemons, const std::string &Body,
                             std::size_t PrefixSize, std::size_t ReadSize) {
   const std::string Prefix = Body.substr(0, PrefixSize);
@@ -83,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("a body arrives whole for any sizes") {
+TEST_CASE("a body arrives complete for any body, prefix and read size") {
   CHECK(rc::check([] {
     const auto Size = *rc::gen::inRange<std::size_t>(1, 2'000'000);
     const auto Prefix = *rc::gen::inRange<std::size_t>(0, Size);
@@ -98,7 +99,7 @@
   }));
 }
 
-TEST_CASE("a sender stops when the receiver's credit is spent") {
+TEST_CASE("a sender stops when the receiver's credit is used up") {
   DaemonPair Daemons;
   const BodyPipePtr Source = Daemons.m_Owner.create("", std::nullopt);
   const std::uint64_t Local =
@@ -111,7 +112,7 @@
       Written += Part.size();
     Daemons.deliver();
   }
-  // One window under way to the reader, and one pipe of the writer.
+  // At most one credit window in transit and one full pipe at the writer.
   CHECK(Written <= 2 * runtime::DefaultPipeCapacity + 2 * Part.size());
   std::size_t Read = 0;
   while (Read < Written) {
@@ -121,7 +122,7 @@
   CHECK(Read == Written);
 }
 
-TEST_CASE("damage on the way is noticed") {
+TEST_CASE("chunks corrupted or truncated in transit fail the body") {
   for (const bool Truncate : {false, true}) {
     DaemonPair Daemons;
     int Count = 0;
@@ -138,7 +139,7 @@
   }
 }
 
-TEST_CASE("a lost connection fails the bodies under way on both sides") {
+TEST_CASE("a lost connection fails the bodies in transit on both sides") {
   DaemonPair Daemons;
   const BodyPipePtr Source = Daemons.m_Owner.create("", 1'000'000);
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(
@@ -151,7 +152,7 @@
   CHECK(Source->state() == PipeState::Failed);
 }
 
-TEST_CASE("a reader that gives up stops the sender") {
+TEST_CASE("a reader that abandons a body stops the sender") {
   DaemonPair Daemons;
   const BodyPipePtr Source = Daemons.m_Owner.create("", std::nullopt);
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(
@@ -162,7 +163,7 @@
   CHECK(Source->state() == PipeState::Failed);
 }
 
-TEST_CASE("an unknown body is refused") {
+TEST_CASE("a request for an unknown body fails the local pipe") {
   DaemonPair Daemons;
   const BodyPipePtr Sink = Daemons.m_Entrance.claim(
       Daemons.m_Entrance.openRemote(Owner, 12345, "", std::nullopt));
@@ -171,7 +172,7 @@
   CHECK(Daemons.m_Entrance.claim(999) == nullptr);
 }
 
-TEST_CASE("pipes that nobody reads expire, ended ones are forgotten") {
+TEST_CASE("pipes without a reader expire and ended pipes are removed") {
   DaemonPair Daemons;
   const BodyPipePtr Unread = Daemons.m_Owner.create("", std::nullopt);
   Daemons.m_Owner.expire(runtime::bootNow());
--- a/tests/unit-cli.cpp
+++ b/tests/unit-cli.cpp
@@ -1,4 +1,4 @@
-// The operators' command line against the platform stand-in.
+// Operator commands against the platform stand-in.
 #include "bench/core/http_client.h"
 #include "bench/core/platform_stand_in.h"
 #include "cli/command_line.h"
@@ -25,7 +25,7 @@
   std::string m_Err;
 };
 
-/// A platform and the command line pointed at it.
+/// A platform stand-in and commands that use it.
 class CliFixture {
 public:
   CliFixture() : m_Platform({}) {}
@@ -55,7 +55,7 @@
   bench::PlatformStandIn m_Platform;
 };
 
-/// A manifest file that is removed again.
+/// A temporary manifest file.
 class ManifestFile {
 public:
   explicit ManifestFile(const std::string &Slots) {
@@ -79,7 +79,7 @@
 
 } // namespace
 
-TEST_CASE("a manifest is committed against its base and shown") {
+TEST_CASE("a manifest is committed on its base version and shown") {
   CliFixture Subject;
   const ManifestFile File("4");
   const Output Committed =
@@ -93,7 +93,8 @@
   CHECK(Document.at("deployment") == "test");
 }
 
-TEST_CASE("a commit against an old base is a conflict that changes nothing") {
+TEST_CASE(
+    "a commit on an outdated base version conflicts and changes nothing") {
   CliFixture Subject;
   const ManifestFile File("4");
   REQUIRE(
@@ -107,7 +108,7 @@
   CHECK(nlohmann::json::parse(Status.m_Out).at("version") == 1);
 }
 
-TEST_CASE("of two operators at the same time one wins") {
+TEST_CASE("only one of two concurrent commits succeeds") {
   CliFixture Subject;
   const ManifestFile File("4");
   const auto CommitOnEmptyBase = [&] {
@@ -120,7 +121,7 @@
   CHECK(Codes == exitCodeOf(CliError::Conflict));
 }
 
-TEST_CASE("failure domains go out and in by new versions") {
+TEST_CASE("failure domains are taken out of and back into service") {
   CliFixture Subject;
   const ManifestFile File("4");
   REQUIRE(
@@ -136,7 +137,7 @@
         exitCodeOf(CliError::InvalidInput));
 }
 
-TEST_CASE("the number of shards cannot be changed under way") {
+TEST_CASE("a commit that changes the number of shards is rejected") {
   CliFixture Subject;
   const ManifestFile File("4");
   REQUIRE(
@@ -155,7 +156,8 @@
       exitCodeOf(CliError::InvalidInput));
 }
 
-TEST_CASE("a table that is down changes nothing and says so") {
+TEST_CASE(
+    "a commit without a reachable table reports that nothing was changed") {
   CliFixture Subject;
   const ManifestFile File("4");
   Subject.setFault(R"({"mode":"down"})");
@@ -165,7 +167,7 @@
   CHECK(Result.m_Err.find("nothing was changed") != std::string::npos);
 }
 
-TEST_CASE("a commit whose answer was lost is recognised as made") {
+TEST_CASE("a commit whose answer was lost is recognised as applied") {
   CliFixture Subject;
   TableSession Table(Subject.address(), std::chrono::milliseconds(5000));
   const RowKey Marker("marker");
@@ -183,7 +185,7 @@
   CHECK(Rows->at(0).m_Value == R"({"write_id": 42})");
 }
 
-TEST_CASE("wrong usage is told apart from failures") {
+TEST_CASE("invalid usage has its own exit code") {
   CliFixture Subject;
   CHECK(Subject.run({"domain"}).m_Code == exitCodeOf(CliError::Usage));
   CHECK(Subject.run({"route", "orders"}).m_Code == exitCodeOf(CliError::Usage));
@@ -193,7 +195,7 @@
         exitCodeOf(CliError::InvalidInput));
 }
 
-TEST_CASE("what remains bears the load up to the bearable share") {
+TEST_CASE("remaining capacity suffices up to the usable share of its slots") {
   CHECK_FALSE(isInsufficient(7, 10));
   CHECK(isInsufficient(9, 10));
   CHECK(isInsufficient(0, 0));
--- a/tests/unit-manifest.cpp
+++ b/tests/unit-manifest.cpp
@@ -1,4 +1,4 @@
-// Reading, checking and comparing manifests.
+// Reading, validating and comparing manifests.
 #include "balsamwheel/coordination.h"
 #include "balsamwheel/manifest.h"
 
@@ -24,7 +24,7 @@
       - { name: place, idempotent: false, deadline: 1s }
 )";
 
-/// Replaces one text of the good manifest and reads the result.
+/// Replaces the first \p From in the valid manifest and reads the result.
 ManifestResult readEdited(const std::string &From, const std::string &To) {
   std::string Text = ValidManifest;
   const std::size_t Position = Text.find(From);
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a good manifest is read whole") {
+TEST_CASE("a valid manifest is read completely") {
   const ManifestResult Result = readManifest(ValidManifest, "m.yaml");
   REQUIRE(Result.m_Manifest.has_value());
   const Service &Orders = Result.m_Manifest->m_Services.at(0);
@@ -56,7 +56,7 @@
   CHECK_FALSE(Orders.m_Classes.at(1).m_Idempotent);
 }
 
-TEST_CASE("faults are named by line, field and reason") {
+TEST_CASE("problems are reported with line, field and reason") {
   CHECK(reports(readEdited("shards: 16", "shards: many"), 7,
                 "services[0].shards", "whole number"));
   CHECK(reports(readEdited("shards: 16", "shards: 0"), 7, "services[0].shards",
@@ -78,10 +78,10 @@
   CHECK(reports(readEdited("region: r", "region: 'r r'"), 3,
                 "failure_domains[0].region", "letters"));
   CHECK(reports(readEdited("shards: 16", "shards: 16\n    shards: 16"), 8,
-                "services[0].shards", "twice"));
+                "services[0].shards", "duplicate"));
 }
 
-TEST_CASE("a faulty manifest yields nothing to apply") {
+TEST_CASE("an invalid manifest yields problems and no manifest") {
   const ManifestResult Result = readEdited("shards: 16", "shards: many");
   CHECK_FALSE(Result.m_Manifest.has_value());
   CHECK_FALSE(readManifest("[", "m.yaml").m_Problems.empty());
@@ -89,13 +89,13 @@
   CHECK_FALSE(readManifestFile("no/such/file").m_Problems.empty());
 }
 
-TEST_CASE("no text makes the reader fail without a problem") {
+TEST_CASE("any text yields either a manifest or problems") {
   CHECK(rc::check("arbitrary text", [] {
     const auto Text = *rc::gen::arbitrary<std::string>();
     const ManifestResult Result = readManifest(Text, "m.yaml");
     RC_ASSERT(Result.m_Manifest.has_value() == Result.m_Problems.empty());
   }));
-  CHECK(rc::check("one byte of a good manifest changed", [] {
+  CHECK(rc::check("one byte of a valid manifest changed", [] {
     std::string Text = ValidManifest;
     const auto Index = *rc::gen::inRange<std::size_t>(0, Text.size());
     Text.at(Index) = *rc::gen::arbitrary<char>();
@@ -104,7 +104,7 @@
   }));
 }
 
-TEST_CASE("durations are parsed with their unit") {
+TEST_CASE("durations require a unit and must not be negative") {
   CHECK(readEdited("deadline: 250ms", "deadline: 250000us")
             .m_Manifest->m_Services.at(0)
             .m_Classes.at(0)
@@ -113,7 +113,7 @@
   CHECK_FALSE(readEdited("deadline: 250ms", "deadline: -1s").m_Manifest);
 }
 
-TEST_CASE("changes between manifests are named by path") {
+TEST_CASE("changes between manifests are reported by path") {
   const Manifest Before = *readManifest(ValidManifest, "m.yaml").m_Manifest;
   const Manifest After = *readEdited("slots: 4", "slots: 5").m_Manifest;
   const auto Changes = diffManifests(Before, After);
--- a/tests/unit-settings.cpp
+++ b/tests/unit-settings.cpp
@@ -1,4 +1,4 @@
-// Settings files: complete ones, and every kind of fault with its line.
+// Settings files: valid ones, and each kind of error with its line.
 #include "daemon/settings.h"
 
 #include <doctest/doctest.h>
@@ -36,7 +36,7 @@
   return Lines;
 }
 
-/// Whether exactly one fault was found, and it starts as given.
+/// Whether exactly one error is reported and it starts with \p Start.
 bool onlyError(const std::string &Text, const std::string &Start) {
   const std::vector<std::string> Errors = parseInvalid(Text);
   CAPTURE(Errors.front());
@@ -87,9 +87,9 @@
   CHECK(Given.m_Node.m_Retry.m_Ratio == doctest::Approx(0.2));
 }
 
-TEST_CASE("a fault names file, line, field and reason") {
+TEST_CASE("an error is reported with file, line, field and reason") {
   CHECK(onlyError(RequiredOnly + "colour: red\n",
-                  "file.yaml:9: colour: is no known field"));
+                  "file.yaml:9: colour: is not a known field"));
   CHECK(onlyError(RequiredOnly + "policy:\n  gate: open\n",
                   "file.yaml:10: policy.gate: must be one of adaptive, fixed"));
   CHECK(onlyError(RequiredOnly + "limits:\n  outcomes: many\n",
@@ -101,7 +101,7 @@
   CHECK(onlyError(RequiredOnly + "policy:\n  hedge: maybe\n",
                   "file.yaml:10: policy.hedge: must be true or false"));
   CHECK(onlyError(RequiredOnly + "domain: b\n",
-                  "file.yaml:9: domain: is given twice"));
+                  "file.yaml:9: domain: is a duplicate field"));
   CHECK(onlyError(RequiredOnly + "coordination: {lease_ms: 700}\n",
                   "file.yaml:1: coordination.lease_ms: must be at least"));
 }
@@ -112,10 +112,10 @@
   CHECK(onlyError(Text, "file.yaml:4: peer_address: must be an IPv4"));
   Text = RequiredOnly;
   Text.replace(Text.find("http://"), 7, "ftp://");
-  CHECK(onlyError(Text, "file.yaml:8: platform: must be as in"));
+  CHECK(onlyError(Text, "file.yaml:8: platform: must be a URL"));
 }
 
-TEST_CASE("all faults are reported together") {
+TEST_CASE("all errors are reported together") {
   const std::vector<std::string> Errors =
       parseInvalid("instance: x\nextra: 1\n");
   const auto Has = [&Errors](const std::string &Line) {
@@ -123,16 +123,16 @@
   };
   CHECK(Has("file.yaml:1: domain: is missing"));
   CHECK(Has("file.yaml:1: platform: is missing"));
-  CHECK(Has("file.yaml:2: extra: is no known field"));
+  CHECK(Has("file.yaml:2: extra: is not a known field"));
 }
 
-TEST_CASE("text that is no YAML mapping is refused") {
+TEST_CASE("text that is not a YAML mapping is rejected") {
   CHECK(parseInvalid("a: [1, 2\n").front().starts_with("file.yaml:"));
   CHECK(parseInvalid("- 1\n").front() == "file.yaml:1: must be a mapping");
   CHECK(parseInvalid("").front() == "file.yaml:1: must be a mapping");
 }
 
-TEST_CASE("a file that cannot be read is named") {
+TEST_CASE("an unreadable file is reported with its name") {
   const auto Result = loadSettings("/nonexistent/settings.yaml");
   REQUIRE(std::holds_alternative<std::vector<SettingsError>>(Result));
   const auto &Errors = std::get<std::vector<SettingsError>>(Result);
