--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -271,7 +271,7 @@
                          (Undo ? "is not draining" : "is already draining"));
   return commitAndWait(Common, Table, Current, Next,
                        "instance '" + Name + "' " +
-                           (Undo ? "stops draining" : "starts draining"));
+                           (Undo ? "stays" : "drains"));
 }
 
 } // namespace balsamwheel::cli
--- a/src/cli/remaining_capacity.h
+++ b/src/cli/remaining_capacity.h
@@ -23,7 +23,7 @@
 inline constexpr double UsableSlotShare = 0.8;
 
 /// Whether \p Demand (orders) exceeds the usable share of the \p Remaining
-/// slots. No remaining slots are always insufficient.
+/// slots. Always true if no slots remain.
 bool isInsufficient(double Demand, double Remaining);
 
 /// Queries the daemons for their load and compares it with the remaining slots.
--- a/src/daemon/core.h
+++ b/src/daemon/core.h
@@ -193,7 +193,7 @@
 
   void handle(const TargetLeft &, TimePoint Now) {
     LOG4CPLUS_INFO(logger(),
-                   "the target is leaving or has sent no heartbeat in time");
+                   "the target is leaving or has stopped announcing itself");
     m_Node.onTargetLeaving(Now);
   }
 
--- a/src/daemon/peer_gate.cpp
+++ b/src/daemon/peer_gate.cpp
@@ -56,7 +56,7 @@
     if (!isIntact(*Reply)) {
       m_Shared.m_Metrics.damagedAnswers().Increment();
       LOG4CPLUS_ERROR(logger(),
-                      "dropped a corrupt answer from " << From.value());
+                      "dropped a damaged answer from " << From.value());
       return;
     }
     HttpAnswer &Http = Reply->m_Http;
--- a/src/daemon/peer_gate.h
+++ b/src/daemon/peer_gate.h
@@ -8,7 +8,7 @@
 namespace balsamwheel::daemon {
 
 /// Body messages go directly to BodyStreams. In forwarded requests and replies,
-/// stream ids of the sender are replaced by local ones. Corrupt replies are
+/// stream ids of the sender are replaced by local ones. Damaged replies are
 /// dropped.
 class PeerReceiver {
 public:
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -32,7 +32,7 @@
   Duration m_PlatformTimeout = std::chrono::seconds(2);
   /// Maximum number of open connections from callers.
   unsigned m_CallerConnections = 4096;
-  /// Maximum number of open connections with other daemons.
+  /// Maximum number of open connections with other daemons, in both directions.
   unsigned m_PeerConnections = 2048;
   /// A target that has sent nothing for this long counts as gone.
   Duration m_TargetSilence = std::chrono::seconds(3);
