--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -18,26 +18,26 @@
 /// and all writes are applied, or nothing changes.
 class MemoryTable {
 public:
-  TableReply read(const TableRead &What) const {
+  TableReply read(const TableRead &Query) const {
     TableReply Reply{.m_Status = TableStatus::Ok, .m_Rows = {}};
-    for (const RowKey &Key : What.m_Keys)
+    for (const RowKey &Key : Query.m_Keys)
       Reply.m_Rows.push_back(get(Key));
-    for (const std::string &Prefix : What.m_Prefixes)
+    for (const std::string &Prefix : Query.m_Prefixes)
       for (const auto &[Key, Stored] : m_Rows)
         if (Key.value().starts_with(Prefix))
           Reply.m_Rows.push_back(Stored);
     return Reply;
   }
 
-  TableReply commit(const Transaction &What) {
+  TableReply commit(const Transaction &Commit) {
     TableReply Reply{.m_Status = TableStatus::Conflict, .m_Rows = {}};
-    for (const RowCondition &Condition : What.m_Conditions)
+    for (const RowCondition &Condition : Commit.m_Conditions)
       if (get(Condition.m_Key).m_Version != Condition.m_Version)
         Reply.m_Rows.push_back(get(Condition.m_Key));
     if (!Reply.m_Rows.empty())
       return Reply;
     Reply.m_Status = TableStatus::Ok;
-    for (const RowWrite &Write : What.m_Writes)
+    for (const RowWrite &Write : Commit.m_Writes)
       Reply.m_Rows.push_back(put(Write));
     return Reply;
   }
@@ -110,10 +110,10 @@
     }
   }
 
-  void deliver(const Process &From, const SendControl &Send) {
+  void deliver(const Process &Sender, const SendControl &Send) {
     for (Process &Each : m_Processes)
       if (Each.m_Address == Send.m_To)
-        Each.m_Coordinator.onMessage(Send.m_Message, From.m_Address, m_Now);
+        Each.m_Coordinator.onMessage(Send.m_Message, Sender.m_Address, m_Now);
   }
 
   MemoryTable &m_Table;
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -71,13 +71,13 @@
 /// wait if the time limit is 0.
 CommandResult commitAndWait(const CommonOptions &Common, TableSession &Table,
                             const ClusterRows &Base, const Config &Next,
-                            const std::string &What) {
+                            const std::string &Action) {
   if (const std::error_code Error = commitConfig(Table, Base, Next))
-    return failure(Error, What);
+    return failure(Error, Action);
   const std::uint64_t Version = Next.m_Version.value();
   CommandResult Result;
   Result.m_Json = {{"version", Version}, {"in_force", false}};
-  Result.m_Text = What + ": committed as version " + std::to_string(Version);
+  Result.m_Text = Action + ": committed as version " + std::to_string(Version);
   if (Common.m_InForceLimit.count() == 0)
     return Result;
   const auto Lagging =
@@ -122,15 +122,15 @@
       [&](const FailureDomain &Domain) { return Domain.m_Name == Name; });
 }
 
-CommandResult unchanged(const Config &Current, const std::string &Why) {
+CommandResult unchanged(const Config &Current, const std::string &Explanation) {
   CommandResult Result;
-  Result.m_Text = Why + "; nothing was changed";
+  Result.m_Text = Explanation + "; nothing was changed";
   Result.m_Json = {{"version", Current.m_Version.value()}, {"changed", false}};
   return Result;
 }
 
 CommandResult setDomainState(const CommonOptions &Common,
-                             const std::string &Name, bool Out) {
+                             const std::string &Name, bool TakeOut) {
   TableSession Table(Common.m_Platform, Common.m_TableLimit);
   ClusterRows Current;
   if (const std::error_code Error = readCluster(Table, Current))
@@ -140,11 +140,12 @@
     return failure(CliError::InvalidInput,
                    "the manifest has no failure domain '" + Name + "'");
   Config Next = nextVersionOf(Current.m_Config);
-  if (!setPresent(Next.m_DomainsOut, Domain, Out))
+  if (!setPresent(Next.m_DomainsOut, Domain, TakeOut))
     return unchanged(Current.m_Config, "failure domain '" + Name + "' is " +
-                                           (Out ? "out" : "in") + " already");
+                                           (TakeOut ? "out" : "in") +
+                                           " already");
   std::string Warning;
-  if (Out) {
+  if (TakeOut) {
     const auto Shortages =
         findShortages(Current.m_Config, Next, Current.m_Members);
     Warning = describeShortages(Shortages);
@@ -152,9 +153,9 @@
       return failure(CliError::Refused,
                      Warning + "\nuse --force to proceed anyway");
   }
-  CommandResult Result =
-      commitAndWait(Common, Table, Current, Next,
-                    "failure domain '" + Name + "' " + (Out ? "out" : "in"));
+  CommandResult Result = commitAndWait(Common, Table, Current, Next,
+                                       "failure domain '" + Name + "' " +
+                                           (TakeOut ? "out" : "in"));
   if (!Warning.empty())
     Result.m_Text = "warning: " + Warning + "\n" + Result.m_Text;
   return Result;
@@ -243,12 +244,12 @@
 
 CommandResult takeDomainOut(const CommonOptions &Common,
                             const std::string &Name) {
-  return setDomainState(Common, Name, /*Out=*/true);
+  return setDomainState(Common, Name, /*TakeOut=*/true);
 }
 
 CommandResult bringDomainIn(const CommonOptions &Common,
                             const std::string &Name) {
-  return setDomainState(Common, Name, /*Out=*/false);
+  return setDomainState(Common, Name, /*TakeOut=*/false);
 }
 
 CommandResult drainInstance(const CommonOptions &Common,
--- a/src/cli/table_session.cpp
+++ b/src/cli/table_session.cpp
@@ -36,26 +36,26 @@
                            std::chrono::milliseconds Limit)
     : m_Client({.m_Address = stripUrl(Platform)}), m_Limit(Limit) {}
 
-TableReply TableSession::readOnce(const TableRead &What) {
+TableReply TableSession::readOnce(const TableRead &Query) {
   std::promise<TableReply> Answer;
-  m_Client.read(What, [&Answer](TableReply Reply) {
+  m_Client.read(Query, [&Answer](TableReply Reply) {
     Answer.set_value(std::move(Reply));
   });
   return Answer.get_future().get();
 }
 
-TableReply TableSession::commitOnce(const Transaction &What) {
+TableReply TableSession::commitOnce(const Transaction &Commit) {
   std::promise<TableReply> Answer;
-  m_Client.commit(What, [&Answer](TableReply Reply) {
+  m_Client.commit(Commit, [&Answer](TableReply Reply) {
     Answer.set_value(std::move(Reply));
   });
   return Answer.get_future().get();
 }
 
-std::optional<std::vector<Row>> TableSession::read(const TableRead &What) {
+std::optional<std::vector<Row>> TableSession::read(const TableRead &Query) {
   const Clock::time_point End = Clock::now() + m_Limit;
   do {
-    TableReply Reply = readOnce(What);
+    TableReply Reply = readOnce(Query);
     if (Reply.m_Status == TableStatus::Ok)
       return std::move(Reply.m_Rows);
     std::this_thread::sleep_for(RetryDelay);
@@ -63,23 +63,23 @@
   return std::nullopt;
 }
 
-bool TableSession::hasWriteId(const Transaction &What, const RowKey &Marker) {
+bool TableSession::hasWriteId(const Transaction &Commit, const RowKey &Marker) {
   const auto Rows = read({.m_Keys = {Marker}, .m_Prefixes = {}});
   return Rows && !Rows->empty() &&
-         writeIdOf(Rows->front().m_Value) == What.m_Id;
+         writeIdOf(Rows->front().m_Value) == Commit.m_Id;
 }
 
-std::error_code TableSession::commit(const Transaction &What,
+std::error_code TableSession::commit(const Transaction &Commit,
                                      const RowKey &Marker) {
   const Clock::time_point End = Clock::now() + m_Limit;
   bool MayHaveApplied = false;
   do {
-    switch (commitOnce(What).m_Status) {
+    switch (commitOnce(Commit).m_Status) {
     case TableStatus::Ok:
       return {};
     case TableStatus::Conflict:
       // The conflict may be with our own earlier attempt, if that was applied.
-      if (MayHaveApplied && hasWriteId(What, Marker))
+      if (MayHaveApplied && hasWriteId(Commit, Marker))
         return {};
       return CliError::Conflict;
     case TableStatus::Ambiguous:
--- a/src/cli/table_session.h
+++ b/src/cli/table_session.h
@@ -25,7 +25,7 @@
   /// Reads rows in one snapshot.
   ///
   /// \returns none if no read succeeds within the time limit.
-  std::optional<std::vector<Row>> read(const TableRead &What);
+  std::optional<std::vector<Row>> read(const TableRead &Query);
 
   /// Commits a transaction. If an answer is lost, the same transaction is sent
   /// again, which is safe because of its conditions. If that attempt conflicts,
@@ -34,12 +34,12 @@
   /// \param Marker a row that the transaction writes and that contains its
   /// write id.
   /// \returns no error, Conflict, Unreachable or OutcomeUnknown.
-  std::error_code commit(const Transaction &What, const RowKey &Marker);
+  std::error_code commit(const Transaction &Commit, const RowKey &Marker);
 
 private:
-  TableReply readOnce(const TableRead &What);
-  TableReply commitOnce(const Transaction &What);
-  bool hasWriteId(const Transaction &What, const RowKey &Marker);
+  TableReply readOnce(const TableRead &Query);
+  TableReply commitOnce(const Transaction &Commit);
+  bool hasWriteId(const Transaction &Commit, const RowKey &Marker);
 
   platform_http::PlatformClient m_Client;
   std::chrono::milliseconds m_Limit;
--- a/src/daemon/adapters.h
+++ b/src/daemon/adapters.h
@@ -15,8 +15,8 @@
 /// Sends answers to callers. Thread-safe.
 template <typename T>
 concept CallerEntrance =
-    requires(T Entrance, AnswerCaller Answer, runtime::BodyPipePtr Rest) {
-      Entrance.answer(std::move(Answer), std::move(Rest));
+    requires(T Entrance, AnswerCaller Answer, runtime::BodyPipePtr BodyRest) {
+      Entrance.answer(std::move(Answer), std::move(BodyRest));
       Entrance.closeAfterAnswers();
       Entrance.stopListening();
       { Entrance.openRequests() } -> std::convertible_to<std::size_t>;
--- a/src/daemon/body_streams.cpp
+++ b/src/daemon/body_streams.cpp
@@ -29,7 +29,7 @@
 struct BodyStreams::Outgoing {
   std::mutex m_Mutex;
   BodyPipePtr m_Pipe;
-  PeerAddress m_To;
+  PeerAddress m_Receiver;
   std::shared_ptr<const Send> m_Send;
   /// Bytes that the receiver still accepts.
   std::uint64_t m_Credit = 0;
@@ -38,7 +38,7 @@
 
 struct BodyStreams::Incoming {
   std::mutex m_Mutex;
-  PeerAddress m_From;
+  PeerAddress m_Sender;
   std::uint64_t m_RemoteId = 0;
   std::shared_ptr<const Send> m_Send;
   /// Bytes consumed since credit was last granted.
@@ -59,11 +59,11 @@
   }
 
   void grantCredit(std::uint64_t Bytes) const {
-    (*m_Send)(m_From, BodyMessage(BodyCredit{m_RemoteId, Bytes}));
+    (*m_Send)(m_Sender, BodyMessage(BodyCredit{m_RemoteId, Bytes}));
   }
 
   void cancel() const {
-    (*m_Send)(m_From, BodyMessage(BodyCancel{m_RemoteId}));
+    (*m_Send)(m_Sender, BodyMessage(BodyCancel{m_RemoteId}));
   }
 };
 
@@ -85,12 +85,12 @@
   return Pipe;
 }
 
-std::uint64_t BodyStreams::openRemote(const PeerAddress &From,
+std::uint64_t BodyStreams::openRemote(const PeerAddress &Peer,
                                       std::uint64_t RemoteId,
                                       std::string_view Prefix,
                                       std::optional<std::uint64_t> Length) {
   auto Source = std::make_shared<Incoming>();
-  Source->m_From = From;
+  Source->m_Sender = Peer;
   Source->m_RemoteId = RemoteId;
   Source->m_Send = m_Send;
   Source->m_NextOffset = Prefix.size();
@@ -107,7 +107,7 @@
   Options.m_OnAbandoned = [Source] { Source->cancel(); };
   m_Pipes.emplace(Options.m_Id, Entry{std::make_shared<BodyPipe>(Options),
                                       runtime::bootNow(), Source});
-  m_LocalIds[{From, RemoteId}] = Options.m_Id;
+  m_LocalIds[{Peer, RemoteId}] = Options.m_Id;
   return Options.m_Id;
 }
 
@@ -127,16 +127,16 @@
   return Found.m_Pipe;
 }
 
-void BodyStreams::onMessage(const PeerAddress &From, BodyMessage Message) {
-  std::visit([this, &From](auto &Item) { receive(From, std::move(Item)); },
+void BodyStreams::onMessage(const PeerAddress &Peer, BodyMessage Message) {
+  std::visit([this, &Peer](auto &Item) { receive(Peer, std::move(Item)); },
              Message);
 }
 
-void BodyStreams::receive(const PeerAddress &From, BodyChunk Chunk) {
+void BodyStreams::receive(const PeerAddress &Peer, BodyChunk Chunk) {
   Entry Found;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const auto Remote = m_LocalIds.find({From, Chunk.m_Stream});
+    const auto Remote = m_LocalIds.find({Peer, Chunk.m_Stream});
     if (Remote == m_LocalIds.end())
       return;
     Found = m_Pipes.at(Remote->second);
@@ -155,17 +155,17 @@
     Pipe.finish(Chunk.m_BodyHash);
 }
 
-void BodyStreams::receive(const PeerAddress &From, const BodyCredit &Credit) {
+void BodyStreams::receive(const PeerAddress &Peer, const BodyCredit &Credit) {
   std::shared_ptr<Outgoing> Stream;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const RemoteStream Remote{From, Credit.m_Stream};
+    const RemoteStream Remote{Peer, Credit.m_Stream};
     if (const auto Known = m_Outgoing.find(Remote); Known != m_Outgoing.end()) {
       Stream = Known->second;
     } else {
       const auto Stored = m_Pipes.find(Credit.m_Stream);
       Stream = std::make_shared<Outgoing>();
-      Stream->m_To = From;
+      Stream->m_Receiver = Peer;
       Stream->m_Send = m_Send;
       if (Stored != m_Pipes.end() && Stored->second.m_Pipe->claimReader())
         Stream->m_Pipe = Stored->second.m_Pipe;
@@ -177,7 +177,7 @@
     Refusal.m_Stream = Credit.m_Stream;
     Refusal.m_Last = true;
     Refusal.m_Failed = true;
-    (*m_Send)(From, BodyMessage(std::move(Refusal)));
+    (*m_Send)(Peer, BodyMessage(std::move(Refusal)));
     return;
   }
   {
@@ -187,11 +187,11 @@
   pump(Stream);
 }
 
-void BodyStreams::receive(const PeerAddress &From, const BodyCancel &Cancel) {
+void BodyStreams::receive(const PeerAddress &Peer, const BodyCancel &Cancel) {
   std::shared_ptr<Outgoing> Stream;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const auto Known = m_Outgoing.find({From, Cancel.m_Stream});
+    const auto Known = m_Outgoing.find({Peer, Cancel.m_Stream});
     if (Known == m_Outgoing.end())
       return;
     Stream = Known->second;
@@ -222,7 +222,7 @@
       continue;
     }
     Stream->m_Ended = Chunk.m_Last;
-    (*Stream->m_Send)(Stream->m_To, BodyMessage(std::move(Chunk)));
+    (*Stream->m_Send)(Stream->m_Receiver, BodyMessage(std::move(Chunk)));
   }
 }
 
@@ -231,7 +231,7 @@
   {
     const std::scoped_lock Lock(m_Mutex);
     for (auto &[Id, Item] : m_Pipes)
-      if (Item.m_Incoming && Item.m_Incoming->m_From == Peer &&
+      if (Item.m_Incoming && Item.m_Incoming->m_Sender == Peer &&
           Item.m_Pipe->readerClaimed())
         Broken.push_back(Item.m_Pipe);
     for (auto &[Remote, Stream] : m_Outgoing)
--- a/src/daemon/body_streams.h
+++ b/src/daemon/body_streams.h
@@ -25,7 +25,8 @@
 /// daemon; the bytes in transit for a stream never exceed the granted credit.
 class BodyStreams {
 public:
-  using Send = std::function<void(const PeerAddress &To, PeerMessage Message)>;
+  using Send =
+      std::function<void(const PeerAddress &Receiver, PeerMessage Message)>;
 
   /// \param FirstId id of the first pipe; should differ between runs.
   BodyStreams(Send SendMessage, std::uint64_t FirstId);
@@ -40,16 +41,16 @@
   /// Creates a local pipe for a body that another daemon holds. The transfer
   /// starts when the pipe is claimed.
   ///
-  /// \param RemoteId id of the pipe at \p From.
+  /// \param RemoteId id of the pipe at \p Peer.
   /// \returns the id of the local pipe.
-  std::uint64_t openRemote(const PeerAddress &From, std::uint64_t RemoteId,
+  std::uint64_t openRemote(const PeerAddress &Peer, std::uint64_t RemoteId,
                            std::string_view Prefix,
                            std::optional<std::uint64_t> Length);
   /// Claims a pipe for reading in this process.
   ///
   /// \returns null if the pipe is unknown or already has a reader.
   runtime::BodyPipePtr claim(std::uint64_t Id);
-  void onMessage(const PeerAddress &From, BodyMessage Message);
+  void onMessage(const PeerAddress &Peer, BodyMessage Message);
   /// Fails the bodies in transit to or from \p Peer.
   void onPeerLost(const PeerAddress &Peer);
   /// Fails pipes that have stayed without a reader for too long and removes
@@ -79,9 +80,9 @@
     std::shared_ptr<Incoming> m_Incoming;
   };
 
-  void receive(const PeerAddress &From, BodyChunk Chunk);
-  void receive(const PeerAddress &From, const BodyCredit &Credit);
-  void receive(const PeerAddress &From, const BodyCancel &Cancel);
+  void receive(const PeerAddress &Peer, BodyChunk Chunk);
+  void receive(const PeerAddress &Peer, const BodyCredit &Credit);
+  void receive(const PeerAddress &Peer, const BodyCancel &Cancel);
   /// Sends chunks until the credit is used up or no bytes are available.
   static void pump(const std::shared_ptr<Outgoing> &Stream);
 
--- a/src/daemon/core.h
+++ b/src/daemon/core.h
@@ -158,11 +158,11 @@
   }
 
   void handle(const ControlReceived &Item, TimePoint Now) {
-    m_Node.onControl(Item.m_Message, Item.m_From, Now);
+    m_Node.onControl(Item.m_Message, Item.m_Sender, Now);
   }
 
   void handle(PeerRequestReceived &Item, TimePoint Now) {
-    m_Node.onRequest(std::move(Item.m_Message), Item.m_From, Now);
+    m_Node.onRequest(std::move(Item.m_Message), Item.m_Sender, Now);
   }
 
   void handle(const PeerLost &Item, TimePoint Now) {
@@ -291,10 +291,10 @@
       record(Found->second, Command);
       m_TrackedRequests.erase(Found);
     }
-    runtime::BodyPipePtr Rest;
+    runtime::BodyPipePtr BodyRest;
     if (Command.m_Http.m_BodyStream != 0)
-      Rest = m_Adapters.m_Bodies.claim(Command.m_Http.m_BodyStream);
-    m_Adapters.m_Callers.answer(std::move(Command), std::move(Rest));
+      BodyRest = m_Adapters.m_Bodies.claim(Command.m_Http.m_BodyStream);
+    m_Adapters.m_Callers.answer(std::move(Command), std::move(BodyRest));
   }
 
   void record(const TrackedRequest &Request, const AnswerCaller &Answer) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -33,8 +33,8 @@
   explicit Impl(Settings InitialSettings)
       : m_Settings(std::move(InitialSettings)), m_Seed(randomSeed()),
         m_Bodies(
-            [this](const PeerAddress &To, PeerMessage Message) {
-              sendBody(To, std::move(Message));
+            [this](const PeerAddress &Receiver, PeerMessage Message) {
+              sendBody(Receiver, std::move(Message));
             },
             randomSeed() >> 1U),
         m_PeerReceiver(m_Shared, m_Bodies),
@@ -87,12 +87,12 @@
     return Error;
   }
 
-  void sendBody(const PeerAddress &To, PeerMessage Message) {
+  void sendBody(const PeerAddress &Receiver, PeerMessage Message) {
     if (const auto *Body = std::get_if<BodyMessage>(&Message))
       if (const auto *Chunk = std::get_if<BodyChunk>(Body))
         m_Shared.m_Metrics.bodyBytes().Increment(
             static_cast<double>(Chunk->m_Bytes.size()));
-    m_Peers.send(To, std::move(Message));
+    m_Peers.send(Receiver, std::move(Message));
   }
 
   http_client::PipeFactory pipeFactory() {
@@ -142,7 +142,7 @@
             },
         .m_MakePipe = pipeFactory(),
         .m_OnRefused =
-            [this](Reason Why) { m_Shared.m_Metrics.recordRefusal(Why); },
+            [this](Reason Cause) { m_Shared.m_Metrics.recordRefusal(Cause); },
     };
   }
 
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -24,12 +24,12 @@
 };
 
 struct ControlReceived {
-  PeerAddress m_From;
+  PeerAddress m_Sender;
   ControlMessage m_Message;
 };
 
 struct PeerRequestReceived {
-  PeerAddress m_From;
+  PeerAddress m_Sender;
   RequestMessage m_Message;
 };
 
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -141,20 +141,20 @@
 }
 
 void Metrics::recordRequest(const ServiceName &Service, const ClassName &Class,
-                            Outcome Result, Reason Why, Duration Latency) {
+                            Outcome Result, Reason Cause, Duration Latency) {
   ClassSeries &Series = seriesOf(Service, Class);
   Series.m_Latency->Observe(toSeconds(Latency));
-  prometheus::Counter *&Count = Series.m_Outcomes[{Result, Why}];
+  prometheus::Counter *&Count = Series.m_Outcomes[{Result, Cause}];
   if (Count == nullptr)
     Count = &m_OutcomeFamily.Add({{"service", Service.value()},
                                   {"class", Class.value()},
                                   {"outcome", std::string(toString(Result))},
-                                  {"reason", std::string(toString(Why))}});
+                                  {"reason", std::string(toString(Cause))}});
   Count->Increment();
 }
 
-void Metrics::recordRefusal(Reason Why) {
-  m_RefusedFamily.Add({{"reason", std::string(toString(Why))}}).Increment();
+void Metrics::recordRefusal(Reason Cause) {
+  m_RefusedFamily.Add({{"reason", std::string(toString(Cause))}}).Increment();
 }
 
 void Metrics::recordOrderEnd(OrderEnd End, Duration Latency) {
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -33,9 +33,9 @@
   /// Records the answer to a caller. Complexity: logarithmic in the number of
   /// series.
   void recordRequest(const ServiceName &Service, const ClassName &Class,
-                     Outcome Result, Reason Why, Duration Latency);
+                     Outcome Result, Reason Cause, Duration Latency);
   /// Records a request that was refused before it reached the core.
-  void recordRefusal(Reason Why);
+  void recordRefusal(Reason Cause);
   /// Records the end of an order at the target.
   void recordOrderEnd(OrderEnd End, Duration Latency);
   void setTargetLoad(double Load, bool Healthy);
--- a/src/daemon/peer_gate.cpp
+++ b/src/daemon/peer_gate.cpp
@@ -26,8 +26,8 @@
 
 PeerHandlers PeerReceiver::handlers() {
   return {.m_OnMessage =
-              [this](const PeerAddress &From, PeerMessage Message) {
-                onMessage(From, std::move(Message));
+              [this](const PeerAddress &Sender, PeerMessage Message) {
+                onMessage(Sender, std::move(Message));
               },
           .m_OnLost =
               [this](const PeerAddress &Peer) {
@@ -36,36 +36,37 @@
               }};
 }
 
-void PeerReceiver::onMessage(const PeerAddress &From, PeerMessage Message) {
+void PeerReceiver::onMessage(const PeerAddress &Sender, PeerMessage Message) {
   if (auto *Control = std::get_if<ControlMessage>(&Message))
-    postOrDrop(ControlReceived{From, std::move(*Control)});
+    postOrDrop(ControlReceived{Sender, std::move(*Control)});
   else if (auto *Request = std::get_if<RequestMessage>(&Message))
-    onRequest(From, std::move(*Request));
+    onRequest(Sender, std::move(*Request));
   else
-    m_Bodies.onMessage(From, std::get<BodyMessage>(std::move(Message)));
+    m_Bodies.onMessage(Sender, std::get<BodyMessage>(std::move(Message)));
 }
 
-void PeerReceiver::onRequest(const PeerAddress &From, RequestMessage Message) {
+void PeerReceiver::onRequest(const PeerAddress &Sender,
+                             RequestMessage Message) {
   if (auto *Forward = std::get_if<ForwardRequest>(&Message)) {
     HttpRequest &Http = Forward->m_Http;
     if (Http.m_BodyStream != 0)
       Http.m_BodyStream =
-          m_Bodies.openRemote(From, Http.m_BodyStream, Http.m_Body,
+          m_Bodies.openRemote(Sender, Http.m_BodyStream, Http.m_Body,
                               lengthFromWire(Http.m_BodyLength));
   } else if (auto *Reply = std::get_if<ForwardReply>(&Message)) {
     if (!isIntact(*Reply)) {
       m_Shared.m_Metrics.damagedAnswers().Increment();
       LOG4CPLUS_ERROR(logger(),
-                      "dropped a damaged answer from " << From.value());
+                      "dropped a damaged answer from " << Sender.value());
       return;
     }
     HttpAnswer &Http = Reply->m_Http;
     if (Http.m_BodyStream != 0)
       Http.m_BodyStream =
-          m_Bodies.openRemote(From, Http.m_BodyStream, Http.m_Body,
+          m_Bodies.openRemote(Sender, Http.m_BodyStream, Http.m_Body,
                               lengthFromWire(Http.m_BodyLength));
   }
-  postOrDrop(PeerRequestReceived{From, std::move(Message)});
+  postOrDrop(PeerRequestReceived{Sender, std::move(Message)});
 }
 
 void PeerReceiver::postOrDrop(Event Item) {
--- a/src/daemon/peer_gate.h
+++ b/src/daemon/peer_gate.h
@@ -18,8 +18,8 @@
   PeerHandlers handlers();
 
 private:
-  void onMessage(const PeerAddress &From, PeerMessage Message);
-  void onRequest(const PeerAddress &From, RequestMessage Message);
+  void onMessage(const PeerAddress &Sender, PeerMessage Message);
+  void onRequest(const PeerAddress &Sender, RequestMessage Message);
   void postOrDrop(Event Item);
 
   CoreShared &m_Shared;
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -31,122 +31,128 @@
              : "must be a URL such as http://127.0.0.1:7000";
 }
 
-void readPlatform(SectionReader &In, Settings &Out) {
+void readPlatform(SectionReader &Reader, Settings &Output) {
   std::string Url(UrlScheme);
-  In.text("platform", Url, true, checkUrl);
-  Out.m_PlatformAddress = Url.substr(UrlScheme.size());
+  Reader.text("platform", Url, true, checkUrl);
+  Output.m_PlatformAddress = Url.substr(UrlScheme.size());
 }
 
-void readLog(SectionReader &In, Settings &Out) {
+void readLog(SectionReader &Reader, Settings &Output) {
   using Levels = std::vector<std::pair<std::string, std::string>>;
-  In.choice("level", Out.m_LogLevel,
-            Levels{{"debug", "debug"},
-                   {"info", "info"},
-                   {"warn", "warn"},
-                   {"error", "error"}});
+  Reader.choice("level", Output.m_LogLevel,
+                Levels{{"debug", "debug"},
+                       {"info", "info"},
+                       {"warn", "warn"},
+                       {"error", "error"}});
   using Formats = std::vector<std::pair<std::string, LogFormat>>;
-  In.text("file", Out.m_LogFile);
-  In.choice("format", Out.m_LogFormat,
-            Formats{{"text", LogFormat::Text}, {"json", LogFormat::Json}});
+  Reader.text("file", Output.m_LogFile);
+  Reader.choice("format", Output.m_LogFormat,
+                Formats{{"text", LogFormat::Text}, {"json", LogFormat::Json}});
 }
 
-void readLimits(SectionReader &In, Settings &Out) {
-  In.milliseconds("platform_timeout_ms", Out.m_PlatformTimeout, 10, MaxMs);
-  In.integer("caller_connections", Out.m_CallerConnections, 1, 60'000);
-  In.integer("peer_connections", Out.m_PeerConnections, 1, 60'000);
-  In.milliseconds("target_silence_ms", Out.m_TargetSilence, 100, MaxMs);
-  In.milliseconds("shutdown_ms", Out.m_ShutdownLimit, 100, MaxMs);
-  In.milliseconds("outcome_memory_ms", Out.m_Node.m_OutcomeMemory, 1000, MaxMs);
-  In.integer("outcomes", Out.m_Node.m_OutcomeLimit, 1, 10 * MaxCount);
-  In.milliseconds("receipt_timeout_ms", Out.m_Node.m_ReceiptTimeout, 1, MaxMs);
+void readLimits(SectionReader &Reader, Settings &Output) {
+  Reader.milliseconds("platform_timeout_ms", Output.m_PlatformTimeout, 10,
+                      MaxMs);
+  Reader.integer("caller_connections", Output.m_CallerConnections, 1, 60'000);
+  Reader.integer("peer_connections", Output.m_PeerConnections, 1, 60'000);
+  Reader.milliseconds("target_silence_ms", Output.m_TargetSilence, 100, MaxMs);
+  Reader.milliseconds("shutdown_ms", Output.m_ShutdownLimit, 100, MaxMs);
+  Reader.milliseconds("outcome_memory_ms", Output.m_Node.m_OutcomeMemory, 1000,
+                      MaxMs);
+  Reader.integer("outcomes", Output.m_Node.m_OutcomeLimit, 1, 10 * MaxCount);
+  Reader.milliseconds("receipt_timeout_ms", Output.m_Node.m_ReceiptTimeout, 1,
+                      MaxMs);
 }
 
-void readCoordination(SectionReader &In, CoordinatorOptions &Out) {
-  CoordinationTiming &Timing = Out.m_Timing;
-  In.milliseconds("heartbeat_ms", Timing.m_HeartbeatPeriod, 10, MaxMs);
-  In.milliseconds("lease_ms", Timing.m_Lease, 50, MaxMs);
-  In.milliseconds("lease_margin_ms", Timing.m_LeaseMargin, 1, MaxMs);
-  In.milliseconds("order_margin_ms", Timing.m_OrderMargin, 1, MaxMs);
-  In.milliseconds("ack_timeout_ms", Timing.m_AckTimeout, 1, MaxMs);
-  In.milliseconds("head_poll_ms", Timing.m_HeadPollPeriod, 10, MaxMs);
-  In.milliseconds("domain_out_grace_ms", Timing.m_DomainOutGrace, 0, MaxMs);
-  In.integer("group_size", Out.m_GroupSize, 1, 64);
+void readCoordination(SectionReader &Reader, CoordinatorOptions &Output) {
+  CoordinationTiming &Timing = Output.m_Timing;
+  Reader.milliseconds("heartbeat_ms", Timing.m_HeartbeatPeriod, 10, MaxMs);
+  Reader.milliseconds("lease_ms", Timing.m_Lease, 50, MaxMs);
+  Reader.milliseconds("lease_margin_ms", Timing.m_LeaseMargin, 1, MaxMs);
+  Reader.milliseconds("order_margin_ms", Timing.m_OrderMargin, 1, MaxMs);
+  Reader.milliseconds("ack_timeout_ms", Timing.m_AckTimeout, 1, MaxMs);
+  Reader.milliseconds("head_poll_ms", Timing.m_HeadPollPeriod, 10, MaxMs);
+  Reader.milliseconds("domain_out_grace_ms", Timing.m_DomainOutGrace, 0, MaxMs);
+  Reader.integer("group_size", Output.m_GroupSize, 1, 64);
 }
 
-void readAdmission(SectionReader &In, AdmissionOptions &Out) {
-  In.integer("reserved_urgent", Out.m_ReservedUrgent, 0, MaxCount);
-  In.integer("reserved_interactive", Out.m_ReservedInteractive, 0, MaxCount);
-  In.integer("cold_slots", Out.m_ColdSlots, 1, MaxCount);
+void readAdmission(SectionReader &Reader, AdmissionOptions &Output) {
+  Reader.integer("reserved_urgent", Output.m_ReservedUrgent, 0, MaxCount);
+  Reader.integer("reserved_interactive", Output.m_ReservedInteractive, 0,
+                 MaxCount);
+  Reader.integer("cold_slots", Output.m_ColdSlots, 1, MaxCount);
 }
 
-void readPolicy(SectionReader &In, NodeOptions &Out) {
+void readPolicy(SectionReader &Reader, NodeOptions &Output) {
   using Modes = std::vector<std::pair<std::string, HandoverMode>>;
-  In.choice("handover", Out.m_Coordinator.m_Handover,
-            Modes{{"switch-then-resolve", HandoverMode::SwitchThenResolve},
-                  {"drain-then-switch", HandoverMode::DrainThenSwitch}});
-  In.flag("witnesses", Out.m_Coordinator.m_UseWitnesses);
+  Reader.choice("handover", Output.m_Coordinator.m_Handover,
+                Modes{{"switch-then-resolve", HandoverMode::SwitchThenResolve},
+                      {"drain-then-switch", HandoverMode::DrainThenSwitch}});
+  Reader.flag("witnesses", Output.m_Coordinator.m_UseWitnesses);
   using Gates = std::vector<std::pair<std::string, bool>>;
-  In.choice("gate", Out.m_Admission.m_Adaptive,
-            Gates{{"adaptive", true}, {"fixed", false}});
+  Reader.choice("gate", Output.m_Admission.m_Adaptive,
+                Gates{{"adaptive", true}, {"fixed", false}});
   using Policies = std::vector<std::pair<std::string, PickPolicy>>;
-  In.choice("picker", Out.m_Picker.m_Policy,
-            Policies{{"two-choices", PickPolicy::TwoChoices},
-                     {"least-loaded", PickPolicy::LeastLoaded},
-                     {"round-robin", PickPolicy::RoundRobin},
-                     {"random", PickPolicy::Random}});
-  In.flag("hedge", Out.m_Picker.m_Hedge);
-  In.real("hedge_budget", Out.m_Picker.m_HedgeBudget, 0, 1);
+  Reader.choice("picker", Output.m_Picker.m_Policy,
+                Policies{{"two-choices", PickPolicy::TwoChoices},
+                         {"least-loaded", PickPolicy::LeastLoaded},
+                         {"round-robin", PickPolicy::RoundRobin},
+                         {"random", PickPolicy::Random}});
+  Reader.flag("hedge", Output.m_Picker.m_Hedge);
+  Reader.real("hedge_budget", Output.m_Picker.m_HedgeBudget, 0, 1);
 }
 
-void readRetry(SectionReader &In, RetryBudgetOptions &Out) {
-  In.real("ratio", Out.m_Ratio, 0, 1);
-  In.real("burst", Out.m_Burst, 0, static_cast<double>(MaxCount));
-  In.milliseconds("base_delay_ms", Out.m_BaseDelay, 1, MaxMs);
-  In.milliseconds("max_delay_ms", Out.m_MaxDelay, 1, MaxMs);
+void readRetry(SectionReader &Reader, RetryBudgetOptions &Output) {
+  Reader.real("ratio", Output.m_Ratio, 0, 1);
+  Reader.real("burst", Output.m_Burst, 0, static_cast<double>(MaxCount));
+  Reader.milliseconds("base_delay_ms", Output.m_BaseDelay, 1, MaxMs);
+  Reader.milliseconds("max_delay_ms", Output.m_MaxDelay, 1, MaxMs);
 }
 
 /// Reads a name into its strong type.
 template <typename Name>
-void readName(SectionReader &In, const char *Field, Name &Target) {
+void readName(SectionReader &Reader, const char *Field, Name &Target) {
   std::string Text;
-  In.text(Field, Text, true);
+  Reader.text(Field, Text, true);
   Target = Name(Text);
 }
 
-Settings readAll(SectionReader &In) {
-  Settings Out;
-  readName(In, "instance", Out.m_Instance);
-  readName(In, "domain", Out.m_Domain);
-  readName(In, "region", Out.m_Region);
-  In.text("peer_address", Out.m_PeerListen, true, checkAddress);
-  Out.m_PeerAdvertised = Out.m_PeerListen;
-  In.text("peer_advertised", Out.m_PeerAdvertised, false, checkAddress);
-  In.text("caller_address", Out.m_CallerListen, true, checkAddress);
-  In.text("target_address", Out.m_TargetListen, true, checkAddress);
-  In.text("admin_address", Out.m_AdminListen, true, checkAddress);
-  readPlatform(In, Out);
-  In.section("log", [&](SectionReader &Section) { readLog(Section, Out); });
-  In.section("limits",
-             [&](SectionReader &Section) { readLimits(Section, Out); });
-  NodeOptions &Node = Out.m_Node;
-  In.section("coordination", [&](SectionReader &Section) {
+Settings readAll(SectionReader &Reader) {
+  Settings Output;
+  readName(Reader, "instance", Output.m_Instance);
+  readName(Reader, "domain", Output.m_Domain);
+  readName(Reader, "region", Output.m_Region);
+  Reader.text("peer_address", Output.m_PeerListen, true, checkAddress);
+  Output.m_PeerAdvertised = Output.m_PeerListen;
+  Reader.text("peer_advertised", Output.m_PeerAdvertised, false, checkAddress);
+  Reader.text("caller_address", Output.m_CallerListen, true, checkAddress);
+  Reader.text("target_address", Output.m_TargetListen, true, checkAddress);
+  Reader.text("admin_address", Output.m_AdminListen, true, checkAddress);
+  readPlatform(Reader, Output);
+  Reader.section("log",
+                 [&](SectionReader &Section) { readLog(Section, Output); });
+  Reader.section("limits",
+                 [&](SectionReader &Section) { readLimits(Section, Output); });
+  NodeOptions &Node = Output.m_Node;
+  Reader.section("coordination", [&](SectionReader &Section) {
     readCoordination(Section, Node.m_Coordinator);
   });
-  In.section("admission", [&](SectionReader &Section) {
+  Reader.section("admission", [&](SectionReader &Section) {
     readAdmission(Section, Node.m_Admission);
   });
-  In.section("policy",
-             [&](SectionReader &Section) { readPolicy(Section, Node); });
-  In.section("retry",
-             [&](SectionReader &Section) { readRetry(Section, Node.m_Retry); });
-  In.finish();
-  Node.m_Coordinator.m_Instance = Out.m_Instance;
-  Node.m_Coordinator.m_Domain = Out.m_Domain;
-  Node.m_Coordinator.m_Region = Out.m_Region;
-  Node.m_Coordinator.m_Peer = PeerAddress(Out.m_PeerAdvertised);
-  Node.m_Coordinator.m_CallerAddress = Out.m_CallerListen;
-  Node.m_Coordinator.m_AdminAddress = Out.m_AdminListen;
-  return Out;
+  Reader.section("policy",
+                 [&](SectionReader &Section) { readPolicy(Section, Node); });
+  Reader.section("retry", [&](SectionReader &Section) {
+    readRetry(Section, Node.m_Retry);
+  });
+  Reader.finish();
+  Node.m_Coordinator.m_Instance = Output.m_Instance;
+  Node.m_Coordinator.m_Domain = Output.m_Domain;
+  Node.m_Coordinator.m_Region = Output.m_Region;
+  Node.m_Coordinator.m_Peer = PeerAddress(Output.m_PeerAdvertised);
+  Node.m_Coordinator.m_CallerAddress = Output.m_CallerListen;
+  Node.m_Coordinator.m_AdminAddress = Output.m_AdminListen;
+  return Output;
 }
 
 /// Checks conditions that involve several fields.
--- a/tests/unit-body-streams.cpp
+++ b/tests/unit-body-streams.cpp
@@ -20,7 +20,7 @@
 /// Two daemons connected by a message queue that the test controls.
 struct DaemonPair {
   struct QueuedMessage {
-    PeerAddress m_From;
+    PeerAddress m_Sender;
     BodyMessage m_Message;
   };
 
@@ -32,14 +32,15 @@
       if (auto *Chunk = std::get_if<BodyChunk>(&Next.m_Message);
           Chunk && m_EditChunk)
         m_EditChunk(*Chunk);
-      BodyStreams &To = Next.m_From == Owner ? m_Entrance : m_Owner;
-      To.onMessage(Next.m_From, std::move(Next.m_Message));
+      BodyStreams &Receiver = Next.m_Sender == Owner ? m_Entrance : m_Owner;
+      Receiver.onMessage(Next.m_Sender, std::move(Next.m_Message));
     }
   }
 
-  BodyStreams::Send sendFrom(const PeerAddress &From) {
-    return [this, From](const PeerAddress &, PeerMessage Message) {
-      m_InTransit.push_back({From, std::get<BodyMessage>(std::move(Message))});
+  BodyStreams::Send sendFrom(const PeerAddress &Sender) {
+    return [this, Sender](const PeerAddress &, PeerMessage Message) {
+      m_InTransit.push_back(
+          {Sender, std::get<BodyMessage>(std::move(Message))});
     };
   }
 
--- a/tests/unit-manifest.cpp
+++ b/tests/unit-manifest.cpp
@@ -24,12 +24,13 @@
       - { name: place, idempotent: false, deadline: 1s }
 )";
 
-/// Replaces the first \p From in the valid manifest and reads the result.
-ManifestResult readEdited(const std::string &From, const std::string &To) {
+/// Replaces the first \p Original in the valid manifest and reads the result.
+ManifestResult readEdited(const std::string &Original,
+                          const std::string &Replacement) {
   std::string Text = ValidManifest;
-  const std::size_t Position = Text.find(From);
+  const std::size_t Position = Text.find(Original);
   REQUIRE(Position != std::string::npos);
-  Text.replace(Position, From.size(), To);
+  Text.replace(Position, Original.size(), Replacement);
   return readManifest(Text, "m.yaml");
 }
 
