--- a/src/cli/remaining_capacity.cpp
+++ b/src/cli/remaining_capacity.cpp
@@ -1,4 +1,4 @@
-// Whether the targets that remain bear the load when others leave.
+// Capacity check before targets are taken out of service.
 #include "cli/remaining_capacity.h"
 
 #include "cli/admin_client.h"
@@ -11,11 +11,14 @@
 
 namespace {
 
-constexpr int Samples = 4;
-constexpr std::chrono::milliseconds SampleGap{50};
+/// Load samples read from each daemon and averaged.
+constexpr int SampleCount = 4;
+constexpr std::chrono::milliseconds SampleInterval{50};
 
 struct ServiceLoad {
+  /// Orders running or waiting.
   double m_Demand = 0;
+  /// Slots of the targets that stay in service.
   double m_Remaining = 0;
   bool m_LosesTargets = false;
 };
@@ -26,8 +29,8 @@
          !std::ranges::binary_search(Known.m_Draining, Value.m_Instance);
 }
 
-/// Orders running or waiting at a daemon; 0 when it does not answer.
-double demandOf(AdminClient &Client, const Member &Value) {
+/// Returns the orders running or waiting at a daemon; 0 if it doesn't answer.
+double readDemand(AdminClient &Client, const Member &Value) {
   if (Value.m_AdminAddress.empty())
     return 0;
   const auto Status = Client.get(Value.m_AdminAddress, "/v1/status");
@@ -38,20 +41,20 @@
 
 } // namespace
 
-bool isShort(double Demand, double Remaining) {
-  return Remaining <= 0 || Demand > BearableShare * Remaining;
+bool isInsufficient(double Demand, double Remaining) {
+  return Remaining <= 0 || Demand > UsableSlotShare * Remaining;
 }
 
 std::vector<Shortage> findShortages(const Config &Before, const Config &After,
                                     const std::vector<GroupMember> &Members) {
   std::map<ServiceName, ServiceLoad> Loads;
   AdminClient Client;
-  for (int Sample = 0; Sample < Samples; ++Sample) {
+  for (int Sample = 0; Sample < SampleCount; ++Sample) {
     for (const GroupMember &Value : Members)
       if (!Value.m_Member.m_Service.value().empty())
         Loads[Value.m_Member.m_Service].m_Demand +=
-            demandOf(Client, Value.m_Member) / Samples;
-    std::this_thread::sleep_for(SampleGap);
+            readDemand(Client, Value.m_Member) / SampleCount;
+    std::this_thread::sleep_for(SampleInterval);
   }
   for (const GroupMember &Value : Members) {
     const Member &Target = Value.m_Member;
@@ -65,7 +68,7 @@
   }
   std::vector<Shortage> Result;
   for (const auto &[Name, Load] : Loads)
-    if (Load.m_LosesTargets && isShort(Load.m_Demand, Load.m_Remaining))
+    if (Load.m_LosesTargets && isInsufficient(Load.m_Demand, Load.m_Remaining))
       Result.push_back({.m_Service = Name,
                         .m_Demand = Load.m_Demand,
                         .m_Remaining = Load.m_Remaining});
@@ -77,10 +80,11 @@
   for (const Shortage &Found : Shortages) {
     if (!Result.empty())
       Result += "\n";
-    Result += "the rest of service '" + Found.m_Service.value() +
-              "' may not bear its load: " + std::to_string(Found.m_Demand) +
-              " orders open, " + std::to_string(Found.m_Remaining) +
-              " slots remain";
+    Result +=
+        "the remaining targets of service '" + Found.m_Service.value() +
+        "' may lack capacity for its load: " + std::to_string(Found.m_Demand) +
+        " open orders, " + std::to_string(Found.m_Remaining) +
+        " remaining slots";
   }
   return Result;
 }
--- a/src/daemon/body_streams.cpp
+++ b/src/daemon/body_streams.cpp
@@ -1,4 +1,4 @@
-// Credits, chunks and the life of pipes.
+// Credit-based transfer of body chunks, and the lifetime of pipes.
 #include "daemon/body_streams.h"
 
 #include "runtime/boot_clock.h"
@@ -15,51 +15,55 @@
 
 namespace {
 
+/// Largest chunk, in bytes.
 constexpr std::size_t ChunkSize = std::size_t{64} * 1024;
+/// Bytes that a sender may have in transit for one stream.
 constexpr std::uint64_t CreditWindow = runtime::DefaultPipeCapacity;
-/// Credit is renewed in portions of this size.
-constexpr std::uint64_t CreditPortion = CreditWindow / 4;
-/// A pipe without a reader fails after this time.
-constexpr Duration UnclaimedLimit = std::chrono::seconds(30);
+/// The receiver grants new credit after it has consumed this many bytes.
+constexpr std::uint64_t CreditBatch = CreditWindow / 4;
+/// A pipe that has no reader after this time fails.
+constexpr Duration UnclaimedTimeout = std::chrono::seconds(30);
 
 } // namespace
 
 struct BodyStreams::Outgoing {
   std::mutex m_Mutex;
   BodyPipePtr m_Pipe;
-  PeerAddress m_To;
+  PeerAddress m_Receiver;
   std::shared_ptr<const Send> m_Send;
+  /// Bytes that the receiver still accepts.
   std::uint64_t m_Credit = 0;
   std::atomic<bool> m_Ended{false};
 };
 
 struct BodyStreams::Incoming {
   std::mutex m_Mutex;
-  PeerAddress m_From;
+  PeerAddress m_Sender;
   std::uint64_t m_RemoteId = 0;
   std::shared_ptr<const Send> m_Send;
-  /// Bytes read since credit was last renewed.
-  std::uint64_t m_Unreported = 0;
+  /// Bytes consumed since credit was last granted.
+  std::uint64_t m_ConsumedSinceCredit = 0;
+  /// Body offset expected in the next chunk.
   std::uint64_t m_NextOffset = 0;
 
   void onConsumed(std::size_t Bytes) {
-    std::uint64_t Portion = 0;
+    std::uint64_t Batch = 0;
     {
       const std::scoped_lock Lock(m_Mutex);
-      m_Unreported += Bytes;
-      if (m_Unreported < CreditPortion)
+      m_ConsumedSinceCredit += Bytes;
+      if (m_ConsumedSinceCredit < CreditBatch)
         return;
-      Portion = std::exchange(m_Unreported, 0);
+      Batch = std::exchange(m_ConsumedSinceCredit, 0);
     }
-    giveCredit(Portion);
+    grantCredit(Batch);
   }
 
-  void giveCredit(std::uint64_t Bytes) const {
-    (*m_Send)(m_From, BodyMessage(BodyCredit{m_RemoteId, Bytes}));
+  void grantCredit(std::uint64_t Bytes) const {
+    (*m_Send)(m_Sender, BodyMessage(BodyCredit{m_RemoteId, Bytes}));
   }
 
   void cancel() const {
-    (*m_Send)(m_From, BodyMessage(BodyCancel{m_RemoteId}));
+    (*m_Send)(m_Sender, BodyMessage(BodyCancel{m_RemoteId}));
   }
 };
 
@@ -69,8 +73,8 @@
 
 BodyStreams::~BodyStreams() { failAll(); }
 
-BodyPipePtr BodyStreams::make(std::string_view Prefix,
-                              std::optional<std::uint64_t> Length) {
+BodyPipePtr BodyStreams::create(std::string_view Prefix,
+                                std::optional<std::uint64_t> Length) {
   const std::scoped_lock Lock(m_Mutex);
   BodyPipeOptions Options;
   Options.m_Id = m_NextId++;
@@ -81,12 +85,12 @@
   return Pipe;
 }
 
-std::uint64_t BodyStreams::adopt(const PeerAddress &From,
-                                 std::uint64_t RemoteId,
-                                 std::string_view Prefix,
-                                 std::optional<std::uint64_t> Length) {
+std::uint64_t BodyStreams::openRemote(const PeerAddress &Peer,
+                                      std::uint64_t RemoteId,
+                                      std::string_view Prefix,
+                                      std::optional<std::uint64_t> Length) {
   auto Source = std::make_shared<Incoming>();
-  Source->m_From = From;
+  Source->m_Sender = Peer;
   Source->m_RemoteId = RemoteId;
   Source->m_Send = m_Send;
   Source->m_NextOffset = Prefix.size();
@@ -103,7 +107,7 @@
   Options.m_OnAbandoned = [Source] { Source->cancel(); };
   m_Pipes.emplace(Options.m_Id, Entry{std::make_shared<BodyPipe>(Options),
                                       runtime::bootNow(), Source});
-  m_ByRemote[{From, RemoteId}] = Options.m_Id;
+  m_LocalIds[{Peer, RemoteId}] = Options.m_Id;
   return Options.m_Id;
 }
 
@@ -111,33 +115,33 @@
   Entry Found;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const auto Place = m_Pipes.find(Id);
-    if (Place == m_Pipes.end())
+    const auto Stored = m_Pipes.find(Id);
+    if (Stored == m_Pipes.end())
       return nullptr;
-    Found = Place->second;
+    Found = Stored->second;
   }
   if (!Found.m_Pipe->claimReader())
     return nullptr;
   if (Found.m_Incoming)
-    Found.m_Incoming->giveCredit(CreditWindow);
+    Found.m_Incoming->grantCredit(CreditWindow);
   return Found.m_Pipe;
 }
 
-void BodyStreams::onMessage(const PeerAddress &From, BodyMessage Message) {
-  std::visit([this, &From](auto &Item) { receive(From, std::move(Item)); },
+void BodyStreams::onMessage(const PeerAddress &Peer, BodyMessage Message) {
+  std::visit([this, &Peer](auto &Item) { receive(Peer, std::move(Item)); },
              Message);
 }
 
-void BodyStreams::receive(const PeerAddress &From, BodyChunk Chunk) {
+void BodyStreams::receive(const PeerAddress &Peer, BodyChunk Chunk) {
   Entry Found;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const auto Name = m_ByRemote.find({From, Chunk.m_Stream});
-    if (Name == m_ByRemote.end())
+    const auto Remote = m_LocalIds.find({Peer, Chunk.m_Stream});
+    if (Remote == m_LocalIds.end())
       return;
-    Found = m_Pipes.at(Name->second);
+    Found = m_Pipes.at(Remote->second);
     if (Chunk.m_Last)
-      m_ByRemote.erase(Name);
+      m_LocalIds.erase(Remote);
   }
   BodyPipe &Pipe = *Found.m_Pipe;
   std::uint64_t &NextOffset = Found.m_Incoming->m_NextOffset;
@@ -151,21 +155,21 @@
     Pipe.finish(Chunk.m_BodyHash);
 }
 
-void BodyStreams::receive(const PeerAddress &From, const BodyCredit &Credit) {
+void BodyStreams::receive(const PeerAddress &Peer, const BodyCredit &Credit) {
   std::shared_ptr<Outgoing> Stream;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const RemoteName Name{From, Credit.m_Stream};
-    if (const auto Known = m_Outgoing.find(Name); Known != m_Outgoing.end()) {
+    const RemoteStream Remote{Peer, Credit.m_Stream};
+    if (const auto Known = m_Outgoing.find(Remote); Known != m_Outgoing.end()) {
       Stream = Known->second;
     } else {
-      const auto Place = m_Pipes.find(Credit.m_Stream);
+      const auto Stored = m_Pipes.find(Credit.m_Stream);
       Stream = std::make_shared<Outgoing>();
-      Stream->m_To = From;
+      Stream->m_Receiver = Peer;
       Stream->m_Send = m_Send;
-      if (Place != m_Pipes.end() && Place->second.m_Pipe->claimReader())
-        Stream->m_Pipe = Place->second.m_Pipe;
-      m_Outgoing.emplace(Name, Stream);
+      if (Stored != m_Pipes.end() && Stored->second.m_Pipe->claimReader())
+        Stream->m_Pipe = Stored->second.m_Pipe;
+      m_Outgoing.emplace(Remote, Stream);
     }
   }
   if (!Stream->m_Pipe) {
@@ -173,7 +177,7 @@
     Refusal.m_Stream = Credit.m_Stream;
     Refusal.m_Last = true;
     Refusal.m_Failed = true;
-    (*m_Send)(From, BodyMessage(std::move(Refusal)));
+    (*m_Send)(Peer, BodyMessage(std::move(Refusal)));
     return;
   }
   {
@@ -183,11 +187,11 @@
   pump(Stream);
 }
 
-void BodyStreams::receive(const PeerAddress &From, const BodyCancel &Cancel) {
+void BodyStreams::receive(const PeerAddress &Peer, const BodyCancel &Cancel) {
   std::shared_ptr<Outgoing> Stream;
   {
     const std::scoped_lock Lock(m_Mutex);
-    const auto Known = m_Outgoing.find({From, Cancel.m_Stream});
+    const auto Known = m_Outgoing.find({Peer, Cancel.m_Stream});
     if (Known == m_Outgoing.end())
       return;
     Stream = Known->second;
@@ -218,7 +222,7 @@
       continue;
     }
     Stream->m_Ended = Chunk.m_Last;
-    (*Stream->m_Send)(Stream->m_To, BodyMessage(std::move(Chunk)));
+    (*Stream->m_Send)(Stream->m_Receiver, BodyMessage(std::move(Chunk)));
   }
 }
 
@@ -227,11 +231,11 @@
   {
     const std::scoped_lock Lock(m_Mutex);
     for (auto &[Id, Item] : m_Pipes)
-      if (Item.m_Incoming && Item.m_Incoming->m_From == Peer &&
+      if (Item.m_Incoming && Item.m_Incoming->m_Sender == Peer &&
           Item.m_Pipe->readerClaimed())
         Broken.push_back(Item.m_Pipe);
-    for (auto &[Name, Stream] : m_Outgoing)
-      if (Name.first == Peer && Stream->m_Pipe)
+    for (auto &[Remote, Stream] : m_Outgoing)
+      if (Remote.first == Peer && Stream->m_Pipe)
         Broken.push_back(Stream->m_Pipe);
   }
   for (const BodyPipePtr &Pipe : Broken)
@@ -244,12 +248,13 @@
   {
     const std::scoped_lock Lock(m_Mutex);
     for (auto &[Id, Item] : m_Pipes)
-      if (!Item.m_Pipe->readerClaimed() && Now - Item.m_Made > UnclaimedLimit)
+      if (!Item.m_Pipe->readerClaimed() &&
+          Now - Item.m_CreatedAt > UnclaimedTimeout)
         Unread.push_back(Item.m_Pipe);
     std::erase_if(m_Pipes, [](const auto &Item) {
       return Item.second.m_Pipe->state() != PipeState::Open;
     });
-    std::erase_if(m_ByRemote, [this](const auto &Item) {
+    std::erase_if(m_LocalIds, [this](const auto &Item) {
       return !m_Pipes.contains(Item.second);
     });
     std::erase_if(m_Outgoing, [](const auto &Item) {
@@ -269,7 +274,7 @@
     for (auto &[Id, Item] : m_Pipes)
       All.push_back(Item.m_Pipe);
     m_Pipes.clear();
-    m_ByRemote.clear();
+    m_LocalIds.clear();
     m_Outgoing.clear();
   }
   for (const BodyPipePtr &Pipe : All)
--- a/src/daemon/peer_gate.h
+++ b/src/daemon/peer_gate.h
@@ -1,4 +1,4 @@
-// Takes messages of other daemons from the transport's thread to the core.
+// Passes messages from other daemons from the transport's thread to the core.
 #pragma once
 
 #include "balsamwheel/detail/wire/peer.h"
@@ -7,24 +7,27 @@
 
 namespace balsamwheel::daemon {
 
-/// Bodies bypass the core; names of bodies become local on the way in.
-class PeerGate {
+/// Body messages go directly to BodyStreams. In forwarded requests and replies,
+/// stream ids of the sender are replaced by local ones. Damaged replies are
+/// dropped.
+class PeerReceiver {
 public:
-  PeerGate(CoreShared &Shared, BodyStreams &Bodies)
+  PeerReceiver(CoreShared &Shared, BodyStreams &Bodies)
       : m_Shared(Shared), m_Bodies(Bodies) {}
 
   PeerHandlers handlers();
 
 private:
-  void onMessage(const PeerAddress &From, PeerMessage Message);
-  void onRequest(const PeerAddress &From, RequestMessage Message);
+  void onMessage(const PeerAddress &Sender, PeerMessage Message);
+  void onRequest(const PeerAddress &Sender, RequestMessage Message);
   void postOrDrop(Event Item);
 
   CoreShared &m_Shared;
   BodyStreams &m_Bodies;
 };
 
-/// Whether an inline body has the length and hash it came with.
+/// Whether an inline body matches the length and hash in its message. Also true
+/// if there is no inline body to check.
 bool isIntact(const ForwardReply &Reply);
 
 } // namespace balsamwheel::daemon
--- a/src/daemon/status_json.cpp
+++ b/src/daemon/status_json.cpp
@@ -1,4 +1,4 @@
-// Fields of the status documents.
+// Contents of the JSON status documents.
 #include "daemon/status_json.h"
 
 #include "balsamwheel/detail/core/hash.h"
@@ -9,7 +9,8 @@
 
 using Json = nlohmann::json;
 
-/// Session ids exceed what JSON readers keep exactly as a number.
+/// Session ids are written as strings, since they exceed the integers that many
+/// JSON parsers represent exactly.
 Json sessionJson(SessionId Id) { return std::to_string(Id.value()); }
 
 Json memberJson(const Member &Value) {
@@ -26,11 +27,12 @@
 }
 
 Json coordinatorJson(const CoordinatorStatus &Value, TimePoint Now) {
-  const auto Left = Value.m_LeaseHeld ? Value.m_LeaseEnd - Now : Duration(0);
+  const auto Remaining =
+      Value.m_LeaseHeld ? Value.m_LeaseEnd - Now : Duration(0);
   return {{"session", sessionJson(Value.m_Session)},
           {"lease_held", Value.m_LeaseHeld},
           {"lease_extended", Value.m_LeaseExtended},
-          {"lease_left_ms", Left.count() / 1000},
+          {"lease_left_ms", Remaining.count() / 1000},
           {"config_version", Value.m_Config.value()},
           {"map_version", Value.m_MapVersion},
           {"group", Value.m_Group},
@@ -40,25 +42,25 @@
           {"shards_pending", Value.m_ShardsPending}};
 }
 
-/// Why a route looks as it does.
-const char *explain(const Route &Way, const Member *Owner) {
-  if (Way.m_Owner == SessionId())
+/// Explains how the owner in a route was chosen.
+const char *routeReason(const Route &Found, const Member *Owner) {
+  if (Found.m_Owner == SessionId())
     return "no owner is known";
-  if (Way.m_Local)
+  if (Found.m_Local)
     return "this instance owns the shard";
   if (Owner == nullptr)
     return "the owner is no longer a member";
   return Owner->m_Leaving ? "the owner is leaving" : "the map names this owner";
 }
 
-Json routeFields(const Node &Subject, const Route &Way) {
-  const Member *Owner = Subject.coordinator().findMember(Way.m_Owner);
-  return {{"shard", Way.m_Shard.m_Shard.value()},
-          {"epoch", Way.m_Epoch.value()},
-          {"session", sessionJson(Way.m_Owner)},
+Json routeFields(const Node &Subject, const Route &Found) {
+  const Member *Owner = Subject.coordinator().findMember(Found.m_Owner);
+  return {{"shard", Found.m_Shard.m_Shard.value()},
+          {"epoch", Found.m_Epoch.value()},
+          {"session", sessionJson(Found.m_Owner)},
           {"instance", Owner ? Owner->m_Instance.value() : std::string()},
-          {"address", Way.m_CallerAddress},
-          {"reason", explain(Way, Owner)}};
+          {"address", Found.m_CallerAddress},
+          {"reason", routeReason(Found, Owner)}};
 }
 
 const Service *findService(const Node &Subject, const ServiceName &Name) {
@@ -102,7 +104,8 @@
     return unknownService(Service);
   if (!Known->m_DividedByKey)
     return {{"service", Service.value()},
-            {"reason", "the service is not divided by key; any of these"},
+            {"reason", "the service is not divided by key; any candidate may "
+                       "serve the request"},
             {"candidates", candidatesJson(Subject, Service)}};
   Json Result =
       routeFields(Subject, Subject.coordinator().route(Service, hashKey(Key)));
@@ -122,7 +125,7 @@
   }
   Result["shards"] = Known->m_Shards;
   Json Owners = Json::array();
-  // A hash below the number of shards lies in the shard of that number.
+  // A hash below the number of shards maps to the shard with that index.
   for (std::uint64_t Shard = 0; Shard < Known->m_Shards; ++Shard)
     Owners.push_back(routeFields(
         Subject, Subject.coordinator().route(Service, KeyHash(Shard))));
--- a/tests/unit-manifest.cpp
+++ b/tests/unit-manifest.cpp
@@ -1,4 +1,4 @@
-// Reading, checking and comparing manifests.
+// Reading, validating and comparing manifests.
 #include "balsamwheel/coordination.h"
 #include "balsamwheel/manifest.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-const std::string Good = R"(deployment: test
+const std::string ValidManifest = R"(deployment: test
 failure_domains:
   - { name: a, region: r }
 services:
@@ -24,12 +24,13 @@
       - { name: place, idempotent: false, deadline: 1s }
 )";
 
-/// Replaces one text of the good manifest and reads the result.
-ManifestResult readWith(const std::string &From, const std::string &To) {
-  std::string Text = Good;
-  const std::size_t Position = Text.find(From);
+/// Replaces the first \p Original in the valid manifest and reads the result.
+ManifestResult readEdited(const std::string &Original,
+                          const std::string &Replacement) {
+  std::string Text = ValidManifest;
+  const std::size_t Position = Text.find(Original);
   REQUIRE(Position != std::string::npos);
-  Text.replace(Position, From.size(), To);
+  Text.replace(Position, Original.size(), Replacement);
   return readManifest(Text, "m.yaml");
 }
 
@@ -45,8 +46,8 @@
 
 } // namespace
 
-TEST_CASE("a good manifest is read whole") {
-  const ManifestResult Result = readManifest(Good, "m.yaml");
+TEST_CASE("a valid manifest is read completely") {
+  const ManifestResult Result = readManifest(ValidManifest, "m.yaml");
   REQUIRE(Result.m_Manifest.has_value());
   const Service &Orders = Result.m_Manifest->m_Services.at(0);
   CHECK(Orders.m_Shards == 16);
@@ -56,47 +57,47 @@
   CHECK_FALSE(Orders.m_Classes.at(1).m_Idempotent);
 }
 
-TEST_CASE("faults are named by line, field and reason") {
-  CHECK(reports(readWith("shards: 16", "shards: many"), 7, "services[0].shards",
-                "whole number"));
-  CHECK(reports(readWith("shards: 16", "shards: 0"), 7, "services[0].shards",
+TEST_CASE("problems are reported with line, field and reason") {
+  CHECK(reports(readEdited("shards: 16", "shards: many"), 7,
+                "services[0].shards", "whole number"));
+  CHECK(reports(readEdited("shards: 16", "shards: 0"), 7, "services[0].shards",
                 "from 1"));
-  CHECK(reports(readWith("shards: 16", "shard: 16"), 7, "services[0].shard",
+  CHECK(reports(readEdited("shards: 16", "shard: 16"), 7, "services[0].shard",
                 "not a known field"));
-  CHECK(reports(readWith("deadline: 250ms", "deadline: soon"), 10,
+  CHECK(reports(readEdited("deadline: 250ms", "deadline: soon"), 10,
                 "services[0].classes[0].deadline", "duration"));
-  CHECK(reports(readWith("deadline: 1s", "deadline: 1m"), 11,
+  CHECK(reports(readEdited("deadline: 1s", "deadline: 1m"), 11,
                 "services[0].classes[1].deadline", "must be from"));
-  CHECK(reports(readWith("name: place", "name: read"), 11,
+  CHECK(reports(readEdited("name: place", "name: read"), 11,
                 "services[0].classes[1].name", "used twice"));
-  CHECK(reports(readWith("slots: 4", "slots: 400"), 8,
+  CHECK(reports(readEdited("slots: 4", "slots: 400"), 8,
                 "services[0].limits.connections", "lower than slots"));
-  CHECK(reports(readWith("GET /orders", "orders"), 10,
+  CHECK(reports(readEdited("GET /orders", "orders"), 10,
                 "services[0].classes[0].match", "METHOD"));
-  CHECK(reports(readWith("idempotent: false", "idempotent: maybe"), 11,
+  CHECK(reports(readEdited("idempotent: false", "idempotent: maybe"), 11,
                 "services[0].classes[1].idempotent", "true or false"));
-  CHECK(reports(readWith("region: r", "region: 'r r'"), 3,
+  CHECK(reports(readEdited("region: r", "region: 'r r'"), 3,
                 "failure_domains[0].region", "letters"));
-  CHECK(reports(readWith("shards: 16", "shards: 16\n    shards: 16"), 8,
-                "services[0].shards", "twice"));
+  CHECK(reports(readEdited("shards: 16", "shards: 16\n    shards: 16"), 8,
+                "services[0].shards", "duplicate"));
 }
 
-TEST_CASE("a faulty manifest yields nothing to apply") {
-  const ManifestResult Result = readWith("shards: 16", "shards: many");
+TEST_CASE("an invalid manifest yields problems and no manifest") {
+  const ManifestResult Result = readEdited("shards: 16", "shards: many");
   CHECK_FALSE(Result.m_Manifest.has_value());
   CHECK_FALSE(readManifest("[", "m.yaml").m_Problems.empty());
   CHECK_FALSE(readManifest("", "m.yaml").m_Problems.empty());
   CHECK_FALSE(readManifestFile("no/such/file").m_Problems.empty());
 }
 
-TEST_CASE("no text makes the reader fail without a problem") {
+TEST_CASE("any text yields either a manifest or problems") {
   CHECK(rc::check("arbitrary text", [] {
     const auto Text = *rc::gen::arbitrary<std::string>();
     const ManifestResult Result = readManifest(Text, "m.yaml");
     RC_ASSERT(Result.m_Manifest.has_value() == Result.m_Problems.empty());
   }));
-  CHECK(rc::check("one byte of a good manifest changed", [] {
-    std::string Text = Good;
+  CHECK(rc::check("one byte of a valid manifest changed", [] {
+    std::string Text = ValidManifest;
     const auto Index = *rc::gen::inRange<std::size_t>(0, Text.size());
     Text.at(Index) = *rc::gen::arbitrary<char>();
     const ManifestResult Result = readManifest(Text, "m.yaml");
@@ -104,18 +105,18 @@
   }));
 }
 
-TEST_CASE("durations are parsed with their unit") {
-  CHECK(readWith("deadline: 250ms", "deadline: 250000us")
+TEST_CASE("durations require a unit and must not be negative") {
+  CHECK(readEdited("deadline: 250ms", "deadline: 250000us")
             .m_Manifest->m_Services.at(0)
             .m_Classes.at(0)
             .m_Deadline == std::chrono::milliseconds(250));
-  CHECK_FALSE(readWith("deadline: 250ms", "deadline: 250").m_Manifest);
-  CHECK_FALSE(readWith("deadline: 250ms", "deadline: -1s").m_Manifest);
+  CHECK_FALSE(readEdited("deadline: 250ms", "deadline: 250").m_Manifest);
+  CHECK_FALSE(readEdited("deadline: 250ms", "deadline: -1s").m_Manifest);
 }
 
-TEST_CASE("changes between manifests are named by path") {
-  const Manifest Before = *readManifest(Good, "m.yaml").m_Manifest;
-  const Manifest After = *readWith("slots: 4", "slots: 5").m_Manifest;
+TEST_CASE("changes between manifests are reported by path") {
+  const Manifest Before = *readManifest(ValidManifest, "m.yaml").m_Manifest;
+  const Manifest After = *readEdited("slots: 4", "slots: 5").m_Manifest;
   const auto Changes = diffManifests(Before, After);
   REQUIRE(Changes.size() == 1);
   CHECK(Changes.at(0).m_Path == "services/orders/slots");
@@ -125,9 +126,9 @@
 }
 
 TEST_CASE("the number of shards cannot change while a service runs") {
-  const Manifest Before = *readManifest(Good, "m.yaml").m_Manifest;
+  const Manifest Before = *readManifest(ValidManifest, "m.yaml").m_Manifest;
   CHECK(incompatibleChanges(Before,
-                            *readWith("shards: 16", "shards: 32").m_Manifest)
+                            *readEdited("shards: 16", "shards: 32").m_Manifest)
             .size() == 1);
   CHECK(incompatibleChanges(Before, Before).empty());
 }
