--- a/bench/capacity/fleet.cpp
+++ b/bench/capacity/fleet.cpp
@@ -1,4 +1,4 @@
-// Many coordinators in one process.
+// Simulated network, clock and table of many coordinators in one process.
 #include "bench/capacity/fleet.h"
 
 #include "adapters/peer_tcp/codec.h"
@@ -12,16 +12,18 @@
 
 namespace {
 
-const ServiceName Keyed("orders");
+const ServiceName KeyedService("orders");
 
-/// Length prefix, TCP and IP headers of a message.
+/// Overhead of a peer message: length prefix (4) and TCP and IP headers (40).
 constexpr std::uint64_t PeerOverheadBytes = 4 + 40;
-/// Heads of an HTTP exchange with the table, both ways, and TCP and IP.
+/// Overhead of an HTTP exchange with the table: headers of request and
+/// response, and TCP and IP headers.
 constexpr std::uint64_t HttpOverheadBytes = 400;
 constexpr std::uint64_t RowOverheadBytes = 40;
 constexpr std::uint32_t TargetSlots = 10;
-constexpr Duration ServedStep = std::chrono::milliseconds(20);
-/// Nodes start one after the other, as instances of a deployment do.
+constexpr Duration ServedCheckPeriod = std::chrono::milliseconds(20);
+/// Time between the starts of two nodes: they start one after the other, as the
+/// instances of a deployment do.
 constexpr Duration StartGap = std::chrono::milliseconds(50);
 
 std::chrono::nanoseconds threadCpu() {
@@ -53,7 +55,7 @@
   commitConfig(makeConfig(1));
   m_Nodes.resize(m_Options.m_Nodes);
   for (std::uint32_t Index = 0; Index < m_Options.m_Nodes; ++Index)
-    later(StartGap * Index, [this, Index] { addNode(Index); });
+    schedule(StartGap * Index, [this, Index] { addNode(Index); });
 }
 
 Duration Fleet::startTime() const { return StartGap * m_Options.m_Nodes; }
@@ -71,7 +73,7 @@
         {DomainName("domain-" + std::to_string(Domain)),
          RegionName("region-" + std::to_string(Domain % 2))});
   Service Orders;
-  Orders.m_Name = Keyed;
+  Orders.m_Name = KeyedService;
   Orders.m_DividedByKey = true;
   Orders.m_Shards = m_Options.m_Shards;
   Orders.m_Classes.resize(1);
@@ -86,7 +88,7 @@
       {.m_Keys = {ConfigHeadRowKey, HeadRowKey}, .m_Prefixes = {}});
   const Config Base = configFromRow(Rows[0]).value_or(Config{});
   Transaction Commit = makeConfigCommit(
-      Rows[0], Base, Next, WriteId(m_Options.m_Seed + ++m_LastOrder));
+      Rows[0], Base, Next, WriteId(m_Options.m_Seed + ++m_LastSequence));
   appendHeadUpdate(Commit, *parseHeadRow(Rows[1]),
                    {{ConfigHeadRowKey, Next.m_Version.value()}});
   m_Table.commit(Commit);
@@ -106,52 +108,53 @@
   Options.m_CallerAddress = Added.m_Address.value();
   Added.m_Coordinator = std::make_unique<Coordinator>(
       std::move(Options), m_Options.m_Seed * 1'000'003 + Index);
-  charge(Index, [&] {
+  callCoordinator(Index, [&] {
     Added.m_Coordinator->start(m_Now);
-    Added.m_Coordinator->onTargetReady(Keyed, TargetSlots, m_Now);
+    Added.m_Coordinator->onTargetReady(KeyedService, TargetSlots, m_Now);
   });
 }
 
-void Fleet::later(Duration Delay, std::function<void()> Run) {
-  m_Events.push({m_Now + Delay, ++m_LastOrder, std::move(Run)});
+void Fleet::schedule(Duration Delay, std::function<void()> Run) {
+  m_Events.push({m_Now + Delay, ++m_LastSequence, std::move(Run)});
 }
 
-template <typename Call> void Fleet::charge(std::uint32_t Index, Call Run) {
-  Node &Charged = m_Nodes[Index];
-  if (!Charged.m_Alive || !Charged.m_Coordinator)
+template <typename Call>
+void Fleet::callCoordinator(std::uint32_t Index, Call Run) {
+  Node &Callee = m_Nodes[Index];
+  if (!Callee.m_Alive || !Callee.m_Coordinator)
     return;
   const auto Begin = threadCpu();
   Run();
-  Charged.m_Bill.m_Cpu += threadCpu() - Begin;
-  afterCall(Index);
+  Callee.m_Usage.m_Cpu += threadCpu() - Begin;
+  handleEffects(Index);
 }
 
-void Fleet::afterCall(std::uint32_t Index) {
-  Node &Subject = m_Nodes[Index];
-  for (const Effect &Wanted : Subject.m_Coordinator->takeEffects()) {
-    if (const auto *Send = std::get_if<SendControl>(&Wanted))
+void Fleet::handleEffects(std::uint32_t Index) {
+  Node &Current = m_Nodes[Index];
+  for (const Effect &Request : Current.m_Coordinator->takeEffects()) {
+    if (const auto *Send = std::get_if<SendControl>(&Request))
       send(Index, *Send);
-    else if (const auto *Read = std::get_if<ReadTable>(&Wanted))
+    else if (const auto *Read = std::get_if<ReadTable>(&Request))
       read(Index, *Read);
-    else if (const auto *Commit = std::get_if<CommitTable>(&Wanted))
+    else if (const auto *Commit = std::get_if<CommitTable>(&Request))
       commit(Index, *Commit);
   }
   const TimePoint Wake =
-      std::max(Subject.m_Coordinator->nextWake(), m_Now + Duration(1));
-  if (Wake >= Subject.m_TickAt || Wake == TimePoint::max())
+      std::max(Current.m_Coordinator->nextWake(), m_Now + Duration(1));
+  if (Wake >= Current.m_NextTick || Wake == TimePoint::max())
     return;
-  Subject.m_TickAt = Wake;
-  later(Wake - m_Now, [this, Index, Wake] {
+  Current.m_NextTick = Wake;
+  schedule(Wake - m_Now, [this, Index, Wake] {
     Node &Woken = m_Nodes[Index];
-    if (Woken.m_TickAt != Wake)
+    if (Woken.m_NextTick != Wake)
       return;
-    Woken.m_TickAt = TimePoint::max();
-    charge(Index, [&] { Woken.m_Coordinator->onTick(m_Now); });
+    Woken.m_NextTick = TimePoint::max();
+    callCoordinator(Index, [&] { Woken.m_Coordinator->onTick(m_Now); });
   });
 }
 
 void Fleet::send(std::uint32_t From, const SendControl &Message) {
-  Bill &Sender = m_Nodes[From].m_Bill;
+  NodeUsage &Sender = m_Nodes[From].m_Usage;
   const auto Begin = threadCpu();
   auto Frame = peer_tcp::encode(PeerMessage(Message.m_Message));
   Sender.m_Cpu += threadCpu() - Begin;
@@ -161,57 +164,57 @@
   const auto To = m_ByAddress.find(Message.m_To);
   if (To == m_ByAddress.end())
     return;
-  later(m_Options.m_PeerDelay,
-        [this, From, Index = To->second, Frame = std::move(Frame), Bytes] {
-          m_Nodes[Index].m_Bill.m_PeerBytes += Bytes;
-          charge(Index, [&] {
-            peer_tcp::WireMessage Decoded;
-            if (peer_tcp::decode(Frame, Decoded))
-              return;
-            m_Nodes[Index].m_Coordinator->onMessage(
-                std::get<ControlMessage>(std::get<PeerMessage>(Decoded)),
-                m_Nodes[From].m_Address, m_Now);
-          });
-        });
+  schedule(m_Options.m_PeerDelay,
+           [this, From, Index = To->second, Frame = std::move(Frame), Bytes] {
+             m_Nodes[Index].m_Usage.m_PeerBytes += Bytes;
+             callCoordinator(Index, [&] {
+               peer_tcp::WireMessage Decoded;
+               if (peer_tcp::decode(Frame, Decoded))
+                 return;
+               m_Nodes[Index].m_Coordinator->onMessage(
+                   std::get<ControlMessage>(std::get<PeerMessage>(Decoded)),
+                   m_Nodes[From].m_Address, m_Now);
+             });
+           });
 }
 
-void Fleet::read(std::uint32_t Index, const ReadTable &Wanted) {
-  later(m_Options.m_TableDelay / 2, [this, Index, Wanted] {
+void Fleet::read(std::uint32_t Index, const ReadTable &Request) {
+  schedule(m_Options.m_TableDelay / 2, [this, Index, Request] {
     TableReply Reply;
-    ++m_TableBill.m_Reads;
+    ++m_TableUsage.m_Reads;
     if (!m_TableDown)
-      Reply = {TableStatus::Ok, m_Table.read(Wanted.m_Read)};
-    m_TableBill.m_RowsRead += Reply.m_Rows.size();
-    m_Nodes[Index].m_Bill.m_TableBytes +=
+      Reply = {TableStatus::Ok, m_Table.read(Request.m_Read)};
+    m_TableUsage.m_RowsRead += Reply.m_Rows.size();
+    m_Nodes[Index].m_Usage.m_TableBytes +=
         HttpOverheadBytes + bytesOf(Reply.m_Rows);
-    reply(Index, Wanted.m_Ticket, std::move(Reply));
+    reply(Index, Request.m_Ticket, std::move(Reply));
   });
 }
 
-void Fleet::commit(std::uint32_t Index, const CommitTable &Wanted) {
-  later(m_Options.m_TableDelay / 2, [this, Index, Wanted] {
+void Fleet::commit(std::uint32_t Index, const CommitTable &Request) {
+  schedule(m_Options.m_TableDelay / 2, [this, Index, Request] {
     TableReply Reply;
-    ++m_TableBill.m_Commits;
+    ++m_TableUsage.m_Commits;
     if (!m_TableDown)
-      Reply = m_Table.commit(Wanted.m_Transaction);
+      Reply = m_Table.commit(Request.m_Transaction);
     if (Reply.m_Status == TableStatus::Conflict)
-      ++m_TableBill.m_Conflicts;
+      ++m_TableUsage.m_Conflicts;
     else
-      m_TableBill.m_RowsWritten += Wanted.m_Transaction.m_Writes.size();
-    m_Nodes[Index].m_Bill.m_TableBytes += HttpOverheadBytes +
-                                          bytesOf(Wanted.m_Transaction) +
-                                          bytesOf(Reply.m_Rows);
-    reply(Index, Wanted.m_Ticket, std::move(Reply));
+      m_TableUsage.m_RowsWritten += Request.m_Transaction.m_Writes.size();
+    m_Nodes[Index].m_Usage.m_TableBytes += HttpOverheadBytes +
+                                           bytesOf(Request.m_Transaction) +
+                                           bytesOf(Reply.m_Rows);
+    reply(Index, Request.m_Ticket, std::move(Reply));
   });
 }
 
 void Fleet::reply(std::uint32_t Index, TableTicket Ticket, TableReply Reply) {
-  later(m_Options.m_TableDelay / 2,
-        [this, Index, Ticket, Reply = std::move(Reply)] {
-          charge(Index, [&] {
-            m_Nodes[Index].m_Coordinator->onTableReply(Ticket, Reply, m_Now);
-          });
-        });
+  schedule(m_Options.m_TableDelay / 2,
+           [this, Index, Ticket, Reply = std::move(Reply)] {
+             callCoordinator(Index, [&] {
+               m_Nodes[Index].m_Coordinator->onTableReply(Ticket, Reply, m_Now);
+             });
+           });
 }
 
 void Fleet::run(Duration Length) {
@@ -228,7 +231,7 @@
 Duration Fleet::runUntilServed(Duration Limit) {
   const TimePoint Begin = m_Now;
   while (m_Now - Begin < Limit && unserved() > 0)
-    run(ServedStep);
+    run(ServedCheckPeriod);
   return m_Now - Begin;
 }
 
@@ -248,18 +251,20 @@
     const auto Map = parseMapRow(Stored);
     if (!Map)
       continue;
-    for (std::uint32_t Place = 0; Place < Map->m_Entries.size(); ++Place) {
-      const auto Owner = BySession.find(Map->m_Entries[Place].m_Owner);
-      const KeyHash Key(Map->m_Part * ShardsPerRow + Place);
+    for (std::uint32_t Position = 0; Position < Map->m_Entries.size();
+         ++Position) {
+      const auto Owner = BySession.find(Map->m_Entries[Position].m_Owner);
+      const KeyHash Key(Map->m_Part * ShardsPerRow + Position);
       if (Owner != BySession.end() &&
-          Owner->second->m_Coordinator->permit(Keyed, Key, m_Now).m_Granted)
+          Owner->second->m_Coordinator->permit(KeyedService, Key, m_Now)
+              .m_Granted)
         ++Served;
     }
   }
   return m_Options.m_Shards - Served;
 }
 
-std::size_t Fleet::lagging(ConfigVersion Version) const {
+std::size_t Fleet::nodesBehind(ConfigVersion Version) const {
   return static_cast<std::size_t>(
       std::ranges::count_if(m_Nodes, [&](const Node &Candidate) {
         return Candidate.m_Alive &&
@@ -267,14 +272,14 @@
       }));
 }
 
-bool Fleet::leads(std::uint32_t Node) const {
+bool Fleet::isLeader(std::uint32_t Node) const {
   return m_Nodes[Node].m_Coordinator->status(m_Now).m_Leader;
 }
 
-void Fleet::clearBills() {
-  m_TableBill = {};
+void Fleet::resetUsage() {
+  m_TableUsage = {};
   for (Node &Each : m_Nodes)
-    Each.m_Bill = {};
+    Each.m_Usage = {};
 }
 
 } // namespace balsamwheel::capacity
--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -1,5 +1,6 @@
-// balsamwheel-capacity: what coordination costs at a given size, by role, in
-// quiet and after losses. Time is simulated; processor time is real.
+// balsamwheel-capacity: resource usage of coordination at a given number of
+// nodes, by role, in steady state and after failures. Time is simulated; CPU
+// time is measured.
 #include "bench/capacity/fleet.h"
 
 #include <cxxopts.hpp>
@@ -33,28 +34,28 @@
   return Resident * PageBytes;
 }
 
-/// Mean and largest of the nodes of one role.
-struct Spread {
+/// Mean and maximum over the nodes of one role.
+struct MeanAndMax {
   double m_Sum = 0;
-  double m_Most = 0;
+  double m_Max = 0;
   std::size_t m_Count = 0;
 
   void add(double Value) {
     m_Sum += Value;
-    m_Most = std::max(m_Most, Value);
+    m_Max = std::max(m_Max, Value);
     ++m_Count;
   }
 
   Json toJson() const {
     return {{"mean", m_Count == 0 ? 0 : m_Sum / static_cast<double>(m_Count)},
-            {"most", m_Most}};
+            {"most", m_Max}};
   }
 };
 
-struct RoleBill {
-  Spread m_BytesPerSecond;
-  Spread m_MessagesPerSecond;
-  Spread m_CorePercent;
+struct RoleUsage {
+  MeanAndMax m_BytesPerSecond;
+  MeanAndMax m_MessagesPerSecond;
+  MeanAndMax m_CorePercent;
 
   Json toJson() const {
     return {{"nodes", m_BytesPerSecond.m_Count},
@@ -64,15 +65,15 @@
   }
 };
 
-Json bills(const Fleet &Subject, Duration Over) {
-  RoleBill Leaders;
-  RoleBill Members;
-  const double Time = asSeconds(Over);
-  for (std::uint32_t Node = 0; Node < Subject.size(); ++Node) {
-    if (!Subject.isAlive(Node))
+Json reportUsage(const Fleet &TestedFleet, Duration Elapsed) {
+  RoleUsage Leaders;
+  RoleUsage Members;
+  const double Time = asSeconds(Elapsed);
+  for (std::uint32_t Node = 0; Node < TestedFleet.size(); ++Node) {
+    if (!TestedFleet.isAlive(Node))
       continue;
-    RoleBill &Role = Subject.leads(Node) ? Leaders : Members;
-    const Bill &Used = Subject.bill(Node);
+    RoleUsage &Role = TestedFleet.isLeader(Node) ? Leaders : Members;
+    const NodeUsage &Used = TestedFleet.usage(Node);
     Role.m_BytesPerSecond.add(
         static_cast<double>(Used.m_PeerBytes + Used.m_TableBytes) / Time);
     Role.m_MessagesPerSecond.add(static_cast<double>(Used.m_PeerMessages) /
@@ -80,7 +81,7 @@
     Role.m_CorePercent.add(static_cast<double>(Used.m_Cpu.count()) / 1e7 /
                            Time);
   }
-  const TableBill &Table = Subject.tableBill();
+  const TableUsage &Table = TestedFleet.tableUsage();
   const auto Rate = [Time](std::uint64_t Count) {
     return static_cast<double>(Count) / Time;
   };
@@ -95,62 +96,63 @@
             {"rows_written_per_s", Rate(Table.m_RowsWritten)}}}};
 }
 
-Json quiet(Fleet &Subject) {
-  Subject.clearBills();
-  Subject.run(QuietTime);
-  return bills(Subject, QuietTime);
+Json quiet(Fleet &TestedFleet) {
+  TestedFleet.resetUsage();
+  TestedFleet.run(QuietTime);
+  return reportUsage(TestedFleet, QuietTime);
 }
 
-/// Kills nodes and lets the fleet recover.
-Json loss(Fleet &Subject, const std::vector<std::uint32_t> &Nodes) {
-  Subject.clearBills();
-  Subject.kill(Nodes);
-  const Duration Took = Subject.runUntilServed(LossLimit);
-  Json Result = bills(Subject, Took);
+/// Kills nodes and measures until every shard is served again.
+Json loss(Fleet &TestedFleet, const std::vector<std::uint32_t> &Nodes) {
+  TestedFleet.resetUsage();
+  TestedFleet.kill(Nodes);
+  const Duration Elapsed = TestedFleet.runUntilServed(LossLimit);
+  Json Result = reportUsage(TestedFleet, Elapsed);
   Result["nodes_lost"] = Nodes.size();
-  Result["served_again_s"] = asSeconds(Took);
-  Result["unserved_at_end"] = Subject.unserved();
-  Subject.run(seconds(20));
+  Result["served_again_s"] = asSeconds(Elapsed);
+  Result["unserved_at_end"] = TestedFleet.unserved();
+  TestedFleet.run(seconds(20));
   return Result;
 }
 
-Json configChange(Fleet &Subject, std::uint64_t Version) {
-  Subject.clearBills();
-  Subject.commitConfig(Subject.makeConfig(Version));
-  Duration Took{0};
+Json configChange(Fleet &TestedFleet, std::uint64_t Version) {
+  TestedFleet.resetUsage();
+  TestedFleet.commitConfig(TestedFleet.makeConfig(Version));
+  Duration Elapsed{0};
   constexpr Duration Step = std::chrono::milliseconds(20);
-  while (Subject.lagging(ConfigVersion(Version)) > 0 && Took < LossLimit) {
-    Subject.run(Step);
-    Took += Step;
+  while (TestedFleet.nodesBehind(ConfigVersion(Version)) > 0 &&
+         Elapsed < LossLimit) {
+    TestedFleet.run(Step);
+    Elapsed += Step;
   }
-  Json Result = bills(Subject, std::max(Took, Step));
-  Result["in_force_s"] = asSeconds(Took);
+  Json Result = reportUsage(TestedFleet, std::max(Elapsed, Step));
+  Result["in_force_s"] = asSeconds(Elapsed);
   return Result;
 }
 
-Json outage(Fleet &Subject) {
-  Subject.clearBills();
-  Subject.setTableDown(true);
-  std::size_t Worst = 0;
+Json outage(Fleet &TestedFleet) {
+  TestedFleet.resetUsage();
+  TestedFleet.setTableDown(true);
+  std::size_t MaxUnserved = 0;
   constexpr Duration Step = std::chrono::milliseconds(500);
-  for (Duration Past{0}; Past < QuietTime; Past += Step) {
-    Subject.run(Step);
-    Worst = std::max(Worst, Subject.unserved());
+  for (Duration Elapsed{0}; Elapsed < QuietTime; Elapsed += Step) {
+    TestedFleet.run(Step);
+    MaxUnserved = std::max(MaxUnserved, TestedFleet.unserved());
   }
-  Json Result = bills(Subject, QuietTime);
-  Subject.setTableDown(false);
-  Result["most_unserved"] = Worst;
-  Subject.run(seconds(10));
-  Result["unserved_afterwards"] = Subject.unserved();
+  Json Result = reportUsage(TestedFleet, QuietTime);
+  TestedFleet.setTableDown(false);
+  Result["most_unserved"] = MaxUnserved;
+  TestedFleet.run(seconds(10));
+  Result["unserved_afterwards"] = TestedFleet.unserved();
   return Result;
 }
 
-std::vector<std::uint32_t> pick(const Fleet &Subject, std::uint32_t Domain,
-                                std::uint32_t Most) {
+std::vector<std::uint32_t> pick(const Fleet &TestedFleet, std::uint32_t Domain,
+                                std::uint32_t MaxCount) {
   std::vector<std::uint32_t> Result;
-  for (std::uint32_t Node = 0; Node < Subject.size(); ++Node)
-    if (Subject.isAlive(Node) && Subject.domainOf(Node) == Domain &&
-        Result.size() < Most)
+  for (std::uint32_t Node = 0; Node < TestedFleet.size(); ++Node)
+    if (TestedFleet.isAlive(Node) && TestedFleet.domainOf(Node) == Domain &&
+        Result.size() < MaxCount)
       Result.push_back(Node);
   return Result;
 }
@@ -162,30 +164,31 @@
               {"shards", Options.m_Shards},
               {"seed", Options.m_Seed}};
   const std::uint64_t Before = residentBytes();
-  Fleet Subject(Options);
+  Fleet TestedFleet(Options);
   progress("forming");
-  const Duration Starting = Subject.startTime();
-  Subject.run(Starting);
+  const Duration Starting = TestedFleet.startTime();
+  TestedFleet.run(Starting);
   Result["started_s"] = asSeconds(Starting);
   Result["formed_after_start_s"] =
-      asSeconds(Subject.runUntilServed(std::chrono::minutes(5)));
-  Subject.run(seconds(60));
+      asSeconds(TestedFleet.runUntilServed(std::chrono::minutes(5)));
+  TestedFleet.run(seconds(60));
   Result["memory_bytes_per_node"] =
       (residentBytes() - Before) / Options.m_Nodes;
   progress("quiet");
-  Result["quiet"] = quiet(Subject);
+  Result["quiet"] = quiet(TestedFleet);
   progress("configuration change");
-  Result["config_change"] = configChange(Subject, 2);
+  Result["config_change"] = configChange(TestedFleet, 2);
   progress("table outage");
-  Result["table_outage"] = outage(Subject);
+  Result["table_outage"] = outage(TestedFleet);
   progress("loss of a node");
-  Result["node_loss"] = loss(Subject, pick(Subject, 1, 1));
+  Result["node_loss"] = loss(TestedFleet, pick(TestedFleet, 1, 1));
   const std::uint32_t Rack =
       std::min(RackSize, std::max(1U, Options.m_Nodes / 16));
   progress("loss of a rack");
-  Result["rack_loss"] = loss(Subject, pick(Subject, 2, Rack));
+  Result["rack_loss"] = loss(TestedFleet, pick(TestedFleet, 2, Rack));
   progress("loss of a failure domain");
-  Result["domain_loss"] = loss(Subject, pick(Subject, 3, Options.m_Nodes));
+  Result["domain_loss"] =
+      loss(TestedFleet, pick(TestedFleet, 3, Options.m_Nodes));
   return Result;
 }
 
@@ -193,26 +196,29 @@
 
 int main(int Count, char **Arguments) {
   cxxopts::Options Options("balsamwheel-capacity",
-                           "Measures what coordination costs at a size.");
+                           "Measures the resource usage of coordination at a "
+                           "given number of nodes.");
   Options.add_options()("nodes", "number of nodes",
                         cxxopts::value<std::uint32_t>()->default_value("880"))(
-      "shards", "shards of the one service",
+      "shards", "number of shards of the service",
       cxxopts::value<std::uint32_t>()->default_value("16384"))(
-      "seed", "seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "help", "print help");
+      "seed", "seed of the coordinators' random numbers",
+      cxxopts::value<std::uint64_t>()->default_value("1"))("help",
+                                                           "print help");
   try {
     const auto Flags = Options.parse(Count, Arguments);
     if (Flags.count("help") > 0) {
       std::cout << Options.help();
       return 0;
     }
-    FleetOptions Size;
-    Size.m_Nodes = Flags["nodes"].as<std::uint32_t>();
-    Size.m_Shards = Flags["shards"].as<std::uint32_t>();
-    Size.m_Seed = Flags["seed"].as<std::uint64_t>();
-    std::cerr << "balsamwheel-capacity --nodes " << Size.m_Nodes << " --shards "
-              << Size.m_Shards << " --seed " << Size.m_Seed << "\n";
-    std::cout << measure(Size).dump(2) << "\n";
+    FleetOptions Settings;
+    Settings.m_Nodes = Flags["nodes"].as<std::uint32_t>();
+    Settings.m_Shards = Flags["shards"].as<std::uint32_t>();
+    Settings.m_Seed = Flags["seed"].as<std::uint64_t>();
+    std::cerr << "balsamwheel-capacity --nodes " << Settings.m_Nodes
+              << " --shards " << Settings.m_Shards << " --seed "
+              << Settings.m_Seed << "\n";
+    std::cout << measure(Settings).dump(2) << "\n";
     return 0;
   } catch (const std::exception &Error) {
     std::cerr << Error.what() << "\n";
--- a/bench/commands.cpp
+++ b/bench/commands.cpp
@@ -36,7 +36,8 @@
 
 int runPlatform(const Strings &Arguments) {
   cxxopts::Options Options("balsamwheel-bench platform",
-                           "Stand-in for the platform's table and store");
+                           "Run a stand-in for the platform's table and object "
+                           "store");
   Options.add_options()("port", "Port on 127.0.0.1, 0 for any",
                         cxxopts::value<std::uint16_t>()->default_value("0"));
   const auto Parsed = parse(Options, Arguments);
@@ -52,22 +53,25 @@
 }
 
 int runTarget(const Strings &Arguments) {
-  cxxopts::Options Options("balsamwheel-bench target", "Stand-in for a target");
+  cxxopts::Options Options("balsamwheel-bench target",
+                           "Run a stand-in for a target");
   Options.add_options()("port", "Port on 127.0.0.1, 0 for any",
                         cxxopts::value<std::uint16_t>()->default_value("0"))(
       "service", "Name of the service", cxxopts::value<std::string>())(
-      "daemon", "host:port where its daemon takes announcements",
+      "daemon", "host:port at which its daemon accepts announcements",
       cxxopts::value<std::string>()->default_value(""))(
-      "control-port", "Port for faults and executions, 0 for any",
+      "control-port",
+      "Port for fault injection and the list of executions, 0 for any",
       cxxopts::value<std::uint16_t>()->default_value("0"))(
       "seed", "Seed of the service times",
       cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "scale", "Multiplies service times",
+      "scale", "Factor on the service times",
       cxxopts::value<double>()->default_value("1"))(
-      "slots", "Orders run at the same time",
+      "slots", "Maximum number of requests executed at the same time",
       cxxopts::value<std::uint32_t>()->default_value("10"))(
-      "cold", "Start cold")("checks-fences", "Refuse orders of old epochs")(
-      "journal", "File that records what ran",
+      "cold", "Start cold")("checks-fences",
+                            "Refuse requests with an outdated epoch")(
+      "journal", "File that records the executed requests",
       cxxopts::value<std::string>()->default_value(""));
   const auto Parsed = parse(Options, Arguments);
   if (!Parsed)
@@ -92,21 +96,26 @@
 
 int runLoad(const Strings &Arguments) {
   cxxopts::Options Options("balsamwheel-bench load",
-                           "Send open-loop load to running entrances");
-  Options.add_options()("entrance", "host:port, several with commas",
+                           "Send open-loop load to running entrance daemons");
+  Options.add_options()("entrance",
+                        "host:port of the entrance daemons, comma-separated",
                         cxxopts::value<Strings>())(
-      "direct", "The entrances are targets")("service", "Name of the service",
-                                             cxxopts::value<std::string>())(
-      "class", "Request class",
+      "direct", "The addresses are those of targets, not of daemons")(
+      "service", "Name of the service", cxxopts::value<std::string>())(
+      "class", "Name of the request class",
       cxxopts::value<std::string>()->default_value(""))(
-      "method", "Method", cxxopts::value<std::string>()->default_value("GET"))(
-      "path", "Path", cxxopts::value<std::string>()->default_value("/bench"))(
-      "keys", "Number of keys, 0 for none",
+      "method", "HTTP method",
+      cxxopts::value<std::string>()->default_value("GET"))(
+      "path", "Path of the requests",
+      cxxopts::value<std::string>()->default_value("/bench"))(
+      "keys", "Number of distinct keys, 0 for requests without a key",
       cxxopts::value<std::uint32_t>()->default_value("1000"))(
-      "rate", "Requests a second",
+      "rate", "Requests per second",
       cxxopts::value<double>()->default_value("100"))(
-      "seconds", "Length", cxxopts::value<int>()->default_value("10"))(
-      "seed", "Seed", cxxopts::value<std::uint64_t>()->default_value("1"));
+      "seconds", "Duration of the load",
+      cxxopts::value<int>()->default_value("10"))(
+      "seed", "Seed of the load",
+      cxxopts::value<std::uint64_t>()->default_value("1"));
   const auto Parsed = parse(Options, Arguments);
   if (!Parsed)
     return 0;
@@ -128,10 +137,10 @@
   Load.start();
   std::this_thread::sleep_for(
       std::chrono::seconds((*Parsed)["seconds"].as<int>()));
-  Observations Seen;
-  Seen.m_Streams = Plan.m_Streams;
-  Seen.m_Requests = Load.finish();
-  std::cout << toJson(measure(Seen, {}, Config{})).at("classes").dump(2)
+  Observations Collected;
+  Collected.m_Streams = Plan.m_Streams;
+  Collected.m_Requests = Load.finish();
+  std::cout << toJson(measure(Collected, {}, Config{})).at("classes").dump(2)
             << "\n";
   return 0;
 }
@@ -141,7 +150,7 @@
 int runList(const Strings &) {
   for (const Scenario &Each : scenarios())
     std::cout << Each.m_Name << "\t" << Each.m_Help << "\n";
-  std::cout << AddedLatency << "\tone daemon against none\n";
+  std::cout << AddedLatency << "\tlatency added by one daemon\n";
   return 0;
 }
 
@@ -149,26 +158,26 @@
   return std::filesystem::read_symlink("/proc/self/exe").parent_path();
 }
 
-/// Reads the options of "run"; none when help was printed.
+/// Parses the options of "run"; none when help was printed.
 std::optional<cxxopts::ParseResult> parseRun(const Strings &Arguments) {
   cxxopts::Options Options("balsamwheel-bench run", "Run an experiment");
   Options.positional_help("NAME");
-  Options.add_options()("name", "Experiment, see list",
+  Options.add_options()("name", "Experiment, one of those that \"list\" prints",
                         cxxopts::value<std::string>()->default_value("demo"))(
-      "seed", "Seed of load and targets",
+      "seed", "Seed of the load and the targets",
       cxxopts::value<std::uint64_t>()->default_value("1"))(
       "deployment", "valpadana or etna-verde",
       cxxopts::value<std::string>()->default_value(""))(
-      "policy", "policy, baseline or both",
+      "policy", "Variant to run: policy, baseline or both",
       cxxopts::value<std::string>()->default_value("both"))(
-      "rounds", "Times that policy and baseline alternate",
+      "rounds", "Number of runs of each variant, alternating",
       cxxopts::value<std::uint32_t>()->default_value("1"))(
-      "load", "Multiplies the rates",
+      "load", "Factor on the request rates",
       cxxopts::value<double>()->default_value("1"))(
       "manifests", "Folder with the manifests of the deployments",
       cxxopts::value<std::string>()->default_value("examples"))(
-      "keep", "Keep logs and journals")(
-      "json", "Write the result to this file",
+      "keep", "Keep logs and journals also of runs without violations")(
+      "json", "Write the result to this file as JSON",
       cxxopts::value<std::string>()->default_value(""));
   Options.parse_positional({"name"});
   return parse(Options, Arguments);
@@ -178,13 +187,13 @@
   ExperimentOptions Options;
   Options.m_Scenario = Parsed["name"].as<std::string>();
   Options.m_Deployment = Parsed["deployment"].as<std::string>();
-  if (const Scenario *Course = findScenario(Options.m_Scenario);
-      Options.m_Deployment.empty() && Course != nullptr)
-    Options.m_Deployment = Course->m_Deployment;
+  if (const Scenario *Found = findScenario(Options.m_Scenario);
+      Options.m_Deployment.empty() && Found != nullptr)
+    Options.m_Deployment = Found->m_Deployment;
   if (Options.m_Deployment.empty())
     Options.m_Deployment = "valpadana";
   if (!findDeployment(Options.m_Deployment))
-    throw std::invalid_argument("no deployment " + Options.m_Deployment);
+    throw std::invalid_argument("unknown deployment " + Options.m_Deployment);
   Options.m_Seed = Parsed["seed"].as<std::uint64_t>();
   Options.m_Policy = Parsed["policy"].as<std::string>();
   Options.m_Rounds = Parsed["rounds"].as<std::uint32_t>();
@@ -211,7 +220,7 @@
     return 0;
   }
   if (findScenario(Options.m_Scenario) == nullptr)
-    throw std::invalid_argument("no experiment " + Options.m_Scenario);
+    throw std::invalid_argument("unknown experiment " + Options.m_Scenario);
   const ExperimentResult Result = runExperiment(Options, std::cout);
   printResult(Result, std::cout);
   writeJson(File, toJson(Result));
@@ -225,10 +234,10 @@
 };
 
 constexpr Command Commands[] = {
-    {"platform", "run the stand-in for the platform", &runPlatform},
+    {"platform", "run a stand-in for the platform", &runPlatform},
     {"target", "run a stand-in for a target", &runTarget},
-    {"load", "send load to running entrances", &runLoad},
-    {"list", "name the experiments", &runList},
+    {"load", "send load to running entrance daemons", &runLoad},
+    {"list", "list the experiments", &runList},
     {"run", "run an experiment", &runExperimentCommand},
 };
 
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,4 +1,5 @@
-// balsamwheel-bench: stand-ins for platform and targets, load, experiments.
+// balsamwheel-bench: stand-ins for the platform and for targets, a load
+// generator, and experiments.
 #include "bench/commands.h"
 
 #include <exception>
--- a/bench/policy/arrivals.h
+++ b/bench/policy/arrivals.h
@@ -1,4 +1,4 @@
-// Random gaps between arrivals and the work of single orders.
+// Random inter-arrival and service times of the simulated load.
 #pragma once
 
 #include "balsamwheel/coordination.h"
@@ -10,28 +10,31 @@
 
 namespace balsamwheel::policy {
 
-/// Seeded; the same seed gives the same sequence.
+/// Random number generator of one run; the same seed gives the same sequence.
 class Arrivals {
 public:
   explicit Arrivals(std::uint64_t Seed) : m_Random(Seed) {}
 
-  /// Exponential gap of a Poisson process.
-  Duration gap(double MeanMicroseconds) {
+  /// Time until the next arrival of a Poisson process: exponentially
+  /// distributed.
+  Duration interarrivalTime(double MeanMicroseconds) {
     return Duration(static_cast<Duration::rep>(exponential(MeanMicroseconds)));
   }
 
-  /// Half of the work is constant, half exponential.
-  Duration work(Duration Mean) {
+  /// Service time of one request: half of the mean is constant, the other half
+  /// is the mean of an exponential distribution.
+  Duration serviceTime(Duration Mean) {
     const double Half = static_cast<double>(Mean.count()) / 2;
     return Duration(static_cast<Duration::rep>(Half + exponential(Half)));
   }
 
-  /// True with the given probability.
-  bool chance(double Probability) {
+  /// Returns true with the given probability, in [0, 1].
+  bool bernoulli(double Probability) {
     return std::bernoulli_distribution(Probability)(m_Random);
   }
 
-  std::uint64_t bits() { return m_Random(); }
+  /// Returns 64 random bits.
+  std::uint64_t randomBits() { return m_Random(); }
 
 private:
   double exponential(double Mean) {
--- a/bench/policy/event_loop.h
+++ b/bench/policy/event_loop.h
@@ -1,4 +1,5 @@
-// Simulated time: events run in order of their time, no thread, no sleep.
+// Event loop in simulated time: events run in the order of their times, without
+// threads or sleeping.
 #pragma once
 
 #include "balsamwheel/coordination.h"
@@ -11,19 +12,20 @@
 
 namespace balsamwheel::policy {
 
-/// Not thread-safe. Invariant: now() never falls.
+/// Not thread-safe. Invariant: now() never decreases.
 class EventLoop {
 public:
   using Action = std::function<void()>;
 
   TimePoint now() const { return m_Now; }
 
+  /// Schedules an event; a time in the past counts as now.
   void at(TimePoint Time, Action Run) {
     m_Events.push({std::max(Time, m_Now), m_NextSequence++, std::move(Run)});
   }
   void after(Duration Delay, Action Run) { at(m_Now + Delay, std::move(Run)); }
 
-  /// Runs every event up to \p End.
+  /// Runs all events up to and including \p End, then sets now() to \p End.
   void runUntil(TimePoint End) {
     while (!m_Events.empty() && m_Events.top().m_Time <= End) {
       const Event Next = m_Events.top();
@@ -37,7 +39,7 @@
 private:
   struct Event {
     TimePoint m_Time;
-    // Events of the same time run in the order of their scheduling.
+    // Events of the same time run in the order in which they were scheduled.
     std::uint64_t m_Sequence = 0;
     Action m_Run;
 
--- a/bench/policy/experiments.h
+++ b/bench/policy/experiments.h
@@ -1,4 +1,4 @@
-// The experiments of balsamwheel-policy: policy against baselines.
+// The experiments of balsamwheel-policy: load policies compared with baselines.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,29 @@
 
 enum class Better : std::uint8_t { Lower, Higher };
 
-/// One measure of one experiment.
-struct Line {
+/// One measure of one experiment, for the policy and for one baseline.
+struct Comparison {
   std::string m_Experiment;
   std::string m_Measure;
   std::string m_BaselineName;
   double m_Policy = 0;
   double m_Baseline = 0;
   Better m_Better = Better::Lower;
-  /// The policy must reach this; none for a measure that is only shown.
+  /// Bound that the policy has to meet, in the direction of m_Better; none for
+  /// a measure that is reported only.
   std::optional<double> m_Goal;
 
-  bool met() const;
+  bool meetsGoal() const;
 };
 
-/// Names of all experiments, in the order of the table.
+/// Returns the names of all experiments, in the order in which they are
+/// printed.
 std::vector<std::string_view> experimentNames();
 
 /// Runs one experiment in simulated time.
 ///
-/// \returns nothing for an unknown name.
-std::vector<Line> runExperiment(std::string_view Name, std::uint64_t Seed);
+/// \returns an empty list for an unknown name.
+std::vector<Comparison> runExperiment(std::string_view Name,
+                                      std::uint64_t Seed);
 
 } // namespace balsamwheel::policy
--- a/bench/policy/gate_run.cpp
+++ b/bench/policy/gate_run.cpp
@@ -1,4 +1,4 @@
-// Drives an AdmissionGate the way a node does.
+// Drives an AdmissionGate as a node does.
 #include "policy/gate_run.h"
 
 #include "policy/arrivals.h"
@@ -20,62 +20,63 @@
     scheduleFaults();
     m_Loop.runUntil(TimePoint(m_Options.m_Length));
     m_Result.m_Collapses = m_Target.target().collapses();
-    const Duration Counted = m_Options.m_Length - m_Options.m_WarmUp;
+    const Duration Measured = m_Options.m_Length - m_Options.m_MeasureFrom;
     m_Result.m_Goodput =
         static_cast<double>(m_WorkInTime.count()) /
-        static_cast<double>(Counted.count() * m_Options.m_Target.m_Slots);
+        static_cast<double>(Measured.count() * m_Options.m_Target.m_Slots);
     return std::move(m_Result);
   }
 
 private:
   void scheduleFaults() {
     ModelledTarget &Target = m_Target.target();
-    if (m_Options.m_SilentCold)
-      m_Loop.after(*m_Options.m_SilentCold, [this, &Target] {
-        Target.turnCold(m_Options.m_SilentColdFails);
+    if (m_Options.m_SilentRestartAt)
+      m_Loop.after(*m_Options.m_SilentRestartAt, [this, &Target] {
+        Target.becomeCold(m_Options.m_SilentRestartFails);
       });
     if (!m_Options.m_Slow)
       return;
-    const SlowSpell Slow = *m_Options.m_Slow;
+    const SlowPeriod Slow = *m_Options.m_Slow;
     m_Loop.after(Slow.m_From,
                  [&Target, Slow] { Target.setSlowness(Slow.m_Factor); });
     m_Loop.after(Slow.m_Until, [&Target] { Target.setSlowness(1); });
   }
 
   void scheduleArrival(const ClassLoad &Load) {
-    if (Load.m_Share <= 0)
+    if (Load.m_OfferedLoad <= 0)
       return;
     const double MeanGap = static_cast<double>(Load.m_MeanWork.count()) /
-                           (Load.m_Share * m_Options.m_Target.m_Slots);
-    m_Loop.after(m_Arrivals.gap(MeanGap), [this, Load] {
+                           (Load.m_OfferedLoad * m_Options.m_Target.m_Slots);
+    m_Loop.after(m_Arrivals.interarrivalTime(MeanGap), [this, Load] {
       scheduleArrival(Load);
-      arrive(Load);
+      onArrival(Load);
     });
   }
 
-  void arrive(const ClassLoad &Load) {
-    const Duration Work = m_Arrivals.work(Load.m_MeanWork);
+  void onArrival(const ClassLoad &Load) {
+    const Duration Work = m_Arrivals.serviceTime(Load.m_MeanWork);
     const TimePoint Arrival = m_Loop.now();
     const Urgency Class =
         m_Options.m_UseClasses ? Load.m_Class : Urgency::Interactive;
-    const bool Counted = Arrival >= TimePoint(m_Options.m_WarmUp);
-    if (Counted)
+    const bool Measured = Arrival >= TimePoint(m_Options.m_MeasureFrom);
+    if (Measured)
       ++m_Result.of(Load.m_Class).m_Offered;
     m_Target.send(Class, Work, Arrival + Load.m_Deadline,
-                  [this, Load, Work, Arrival, Counted](SendEnd How) {
-                    if (Counted)
-                      count(Load, Work, m_Loop.now() - Arrival, How);
+                  [this, Load, Work, Arrival, Measured](SendResult Result) {
+                    if (Measured)
+                      count(Load, Work, m_Loop.now() - Arrival, Result);
                   });
   }
 
   void count(const ClassLoad &Load, Duration Work, Duration Latency,
-             SendEnd How) {
+             SendResult Result) {
     ClassResult &Into = m_Result.of(Load.m_Class);
-    // An unanswered request costs its caller the whole deadline.
-    Into.m_Latency.add(How == SendEnd::Answered ? Latency : Load.m_Deadline);
-    if (How == SendEnd::Refused) {
+    // The caller of an unanswered request waits until its deadline.
+    Into.m_Latency.add(Result == SendResult::Answered ? Latency
+                                                      : Load.m_Deadline);
+    if (Result == SendResult::Refused) {
       ++Into.m_Refused;
-    } else if (How == SendEnd::Failed) {
+    } else if (Result == SendResult::Failed) {
       ++Into.m_Failed;
     } else if (Latency > Load.m_Deadline) {
       ++Into.m_Late;
--- a/bench/policy/gate_run.h
+++ b/bench/policy/gate_run.h
@@ -1,4 +1,4 @@
-// One gate in front of one modelled target under open-loop load.
+// Open-loop load on one modelled target behind an admission gate.
 #pragma once
 
 #include "policy/modelled_target.h"
@@ -10,8 +10,9 @@
 
 namespace balsamwheel::policy {
 
-/// A time during which every order takes a multiple of its work.
-struct SlowSpell {
+/// A period of the run in which every request takes a multiple of its usual
+/// service time.
+struct SlowPeriod {
   Duration m_From{0};
   Duration m_Until{0};
   double m_Factor = 10;
@@ -20,11 +21,11 @@
 /// Open-loop load of one class.
 struct ClassLoad {
   Urgency m_Class = Urgency::Interactive;
-  /// Offered work as a share of what the warm target bears.
-  double m_Share = 0;
-  /// Mean time that an order takes on an undisturbed target.
+  /// Offered load as a fraction of the capacity of the warm target.
+  double m_OfferedLoad = 0;
+  /// Mean service time on a target that is neither overloaded nor slowed.
   Duration m_MeanWork = std::chrono::milliseconds(10);
-  /// Deadline after the arrival.
+  /// Time from the arrival to the deadline.
   Duration m_Deadline = std::chrono::seconds(1);
 };
 
@@ -32,21 +33,21 @@
   AdmissionOptions m_Gate;
   TargetModel m_Target;
   std::vector<ClassLoad> m_Load;
-  /// False offers every request in the same class.
+  /// If false, the gate sees all requests as the same class.
   bool m_UseClasses = true;
-  /// The target turns cold in silence at this time.
-  std::optional<Duration> m_SilentCold;
-  /// The silent restart also fails the orders that run.
-  bool m_SilentColdFails = false;
-  std::optional<SlowSpell> m_Slow;
-  /// Results count from here on.
-  Duration m_WarmUp{0};
+  /// Time at which the target becomes cold without reporting a restart.
+  std::optional<Duration> m_SilentRestartAt;
+  /// If true, that restart also fails the requests in progress.
+  bool m_SilentRestartFails = false;
+  std::optional<SlowPeriod> m_Slow;
+  /// Requests that arrive before this time are not measured.
+  Duration m_MeasureFrom{0};
   Duration m_Length = std::chrono::seconds(60);
   std::uint64_t m_Seed = 1;
 };
 
 struct ClassResult {
-  /// Latency of answered requests; the deadline for the others.
+  /// Latency of answered requests; the time to the deadline for the others.
   Samples m_Latency;
   std::uint64_t m_Offered = 0;
   std::uint64_t m_InTime = 0;
@@ -57,7 +58,8 @@
 
 struct GateRunResult {
   std::array<ClassResult, UrgencyCount> m_Classes;
-  /// Work done in time over what the warm target bears.
+  /// Service time of the requests answered in time, as a fraction of the
+  /// capacity of the warm target.
   double m_Goodput = 0;
   std::uint32_t m_Collapses = 0;
 
@@ -69,7 +71,8 @@
   }
 };
 
-/// Runs to the end in simulated time; the same options give the same result.
+/// Performs the whole run in simulated time; the same options give the same
+/// result.
 GateRunResult runGate(const GateRunOptions &Options);
 
 } // namespace balsamwheel::policy
--- a/bench/policy/gated_target.cpp
+++ b/bench/policy/gated_target.cpp
@@ -1,4 +1,4 @@
-// Joins an AdmissionGate with a modelled target.
+// Passes requests through an AdmissionGate to a modelled target.
 #include "policy/gated_target.h"
 
 #include <utility>
@@ -18,17 +18,19 @@
 }
 
 RequestHandle GatedTarget::send(Urgency Class, Duration Work,
-                                TimePoint Deadline, Done Report) {
+                                TimePoint Deadline,
+                                CompletionHandler OnCompletion) {
   const RequestHandle Handle(m_NextHandle++);
-  m_Sends[Handle] = {
-      .m_Class = Class, .m_Work = Work, .m_Report = std::move(Report)};
+  m_Sends[Handle] = {.m_Class = Class,
+                     .m_Work = Work,
+                     .m_OnCompletion = std::move(OnCompletion)};
   const AdmissionDecision Decision =
       m_Gate.offer(Handle, Class, Deadline, m_Loop.now());
   if (Decision.m_Verdict == AdmissionVerdict::Run)
     start(Handle);
   else if (Decision.m_Verdict == AdmissionVerdict::Refused)
     m_Loop.after(Duration(0),
-                 [this, Handle] { end(Handle, SendEnd::Refused); });
+                 [this, Handle] { end(Handle, SendResult::Refused); });
   return Handle;
 }
 
@@ -38,18 +40,18 @@
     return;
   const Send Cancelled = std::move(Found->second);
   m_Sends.erase(Found);
-  if (Cancelled.m_Order == 0) {
+  if (Cancelled.m_TargetRequest == 0) {
     m_Gate.withdraw(Handle);
     return;
   }
-  m_Target.cancel(Cancelled.m_Order);
+  m_Target.cancel(Cancelled.m_TargetRequest);
   m_Gate.released(Cancelled.m_Class);
-  drain();
+  processQueue();
 }
 
 void GatedTarget::start(RequestHandle Handle) {
   Send &Started = m_Sends.at(Handle);
-  Started.m_Order =
+  Started.m_TargetRequest =
       m_Target.start(Started.m_Work, [this, Handle](const OrderResult &Result) {
         finish(Handle, Result);
       });
@@ -60,29 +62,30 @@
   if (Found == m_Sends.end())
     return;
   m_Gate.finished(Found->second.m_Class, Result, m_Loop.now());
-  end(Handle, Result.m_Failed ? SendEnd::Failed : SendEnd::Answered);
-  drain();
+  end(Handle, Result.m_Failed ? SendResult::Failed : SendResult::Answered);
+  processQueue();
 }
 
-void GatedTarget::end(RequestHandle Handle, SendEnd How) {
+void GatedTarget::end(RequestHandle Handle, SendResult Result) {
   const auto Found = m_Sends.find(Handle);
   if (Found == m_Sends.end())
     return;
-  const Done Report = std::move(Found->second.m_Report);
+  const CompletionHandler OnCompletion =
+      std::move(Found->second.m_OnCompletion);
   m_Sends.erase(Found);
-  Report(How);
+  OnCompletion(Result);
 }
 
-void GatedTarget::drain() {
+void GatedTarget::processQueue() {
   while (const auto Handle = m_Gate.next(m_Loop.now()))
     start(*Handle);
   for (const RequestHandle Handle : m_Gate.expire(m_Loop.now()))
-    end(Handle, SendEnd::Refused);
+    end(Handle, SendResult::Refused);
 }
 
 void GatedTarget::sweep() {
   m_Loop.after(SweepPeriod, [this] { sweep(); });
-  drain();
+  processQueue();
 }
 
 } // namespace balsamwheel::policy
--- a/bench/policy/gated_target.h
+++ b/bench/policy/gated_target.h
@@ -1,4 +1,4 @@
-// A modelled target behind the gate of its daemon.
+// A modelled target behind the admission gate of its daemon.
 #pragma once
 
 #include "policy/modelled_target.h"
@@ -8,20 +8,26 @@
 
 namespace balsamwheel::policy {
 
-enum class SendEnd : std::uint8_t { Answered, Failed, Refused };
+enum class SendResult : std::uint8_t { Answered, Failed, Refused };
 
-/// Queues, runs, refuses and cancels sends the way a node does.
+/// Queues, runs, refuses and cancels requests as a node does.
 class GatedTarget {
 public:
-  using Done = std::function<void(SendEnd)>;
+  using CompletionHandler = std::function<void(SendResult)>;
 
   GatedTarget(EventLoop &Loop, const AdmissionOptions &Gate,
               const TargetModel &Model);
 
+  /// Sends a request.
+  ///
+  /// \param Work its service time on a target that is neither overloaded nor
+  /// slowed.
+  /// \param OnCompletion called once, unless the request is cancelled.
   /// \returns a handle for cancel().
   RequestHandle send(Urgency Class, Duration Work, TimePoint Deadline,
-                     Done Report);
-  /// Withdraws a send; it is not reported.
+                     CompletionHandler OnCompletion);
+  /// Cancels a request that waits or runs; its completion handler is not
+  /// called.
   void cancel(RequestHandle Handle);
   ModelledTarget &target() { return m_Target; }
 
@@ -29,15 +35,15 @@
   struct Send {
     Urgency m_Class = Urgency::Interactive;
     Duration m_Work{0};
-    Done m_Report;
-    // 0 while it waits.
-    std::uint64_t m_Order = 0;
+    CompletionHandler m_OnCompletion;
+    // Id of the running request at the target; 0 while it waits in the queue.
+    std::uint64_t m_TargetRequest = 0;
   };
 
   void start(RequestHandle Handle);
   void finish(RequestHandle Handle, const OrderResult &Result);
-  void end(RequestHandle Handle, SendEnd How);
-  void drain();
+  void end(RequestHandle Handle, SendResult Result);
+  void processQueue();
   void sweep();
 
   EventLoop &m_Loop;
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -1,4 +1,5 @@
-// balsamwheel-policy: prints what the load policies gain over baselines.
+// balsamwheel-policy: compares the load policies with baselines in simulated
+// time and checks their goals.
 #include "policy/experiments.h"
 
 #include <cxxopts.hpp>
@@ -12,14 +13,14 @@
 
 namespace {
 
-using balsamwheel::policy::Line;
+using balsamwheel::policy::Comparison;
 
-void printLine(const Line &Entry) {
+void printComparison(const Comparison &Entry) {
   std::string Goal = "-";
   if (Entry.m_Goal) {
     std::array<char, 32> Text{};
     std::snprintf(Text.data(), Text.size(), "%.2f %s", *Entry.m_Goal,
-                  Entry.met() ? "met" : "MISSED");
+                  Entry.meetsGoal() ? "met" : "MISSED");
     Goal = Text.data();
   }
   std::printf("%-17s %-38s %9.3f  %-14s %9.3f  %s\n",
@@ -28,13 +29,13 @@
               Goal.c_str());
 }
 
-nlohmann::json toJson(const Line &Entry) {
+nlohmann::json toJson(const Comparison &Entry) {
   nlohmann::json Result = {{"experiment", Entry.m_Experiment},
                            {"measure", Entry.m_Measure},
                            {"policy", Entry.m_Policy},
                            {"baseline_name", Entry.m_BaselineName},
                            {"baseline", Entry.m_Baseline},
-                           {"met", Entry.met()}};
+                           {"met", Entry.meetsGoal()}};
   if (Entry.m_Goal)
     Result["goal"] = *Entry.m_Goal;
   return Result;
@@ -42,21 +43,21 @@
 
 int run(int Argc, char **Argv) {
   cxxopts::Options Options("balsamwheel-policy",
-                           "Load policies on modelled targets in simulated "
-                           "time, against baselines");
-  Options.add_options()("experiment", "Only this one",
+                           "Compares the load policies with baselines on "
+                           "modelled targets in simulated time");
+  Options.add_options()("experiment", "Run only this experiment",
                         cxxopts::value<std::string>())(
-      "seed", "Seed of all randomness",
+      "seed", "Seed of the random numbers",
       cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "json", "Write the lines to this file",
-      cxxopts::value<std::string>())("help", "Show this help");
+      "json", "Write the results to this file as JSON",
+      cxxopts::value<std::string>())("help", "Print this help");
   Options.parse_positional({"experiment"});
-  const cxxopts::ParseResult Given = Options.parse(Argc, Argv);
-  if (Given.count("help") > 0) {
+  const cxxopts::ParseResult Parsed = Options.parse(Argc, Argv);
+  if (Parsed.count("help") > 0) {
     std::cout << Options.help();
     return 0;
   }
-  const auto Seed = Given["seed"].as<std::uint64_t>();
+  const auto Seed = Parsed["seed"].as<std::uint64_t>();
   std::printf("seed %llu, simulated time\n",
               static_cast<unsigned long long>(Seed));
   std::printf("%-17s %-38s %9s  %-14s %9s  %s\n", "experiment", "measure",
@@ -65,17 +66,18 @@
                              {"lines", nlohmann::json::array()}};
   bool AllMet = true;
   for (const std::string_view Name : balsamwheel::policy::experimentNames()) {
-    if (Given.count("experiment") > 0 &&
-        Given["experiment"].as<std::string>() != Name)
+    if (Parsed.count("experiment") > 0 &&
+        Parsed["experiment"].as<std::string>() != Name)
       continue;
-    for (const Line &Entry : balsamwheel::policy::runExperiment(Name, Seed)) {
-      printLine(Entry);
+    for (const Comparison &Entry :
+         balsamwheel::policy::runExperiment(Name, Seed)) {
+      printComparison(Entry);
       Document["lines"].push_back(toJson(Entry));
-      AllMet = AllMet && Entry.met();
+      AllMet = AllMet && Entry.meetsGoal();
     }
   }
-  if (Given.count("json") > 0)
-    std::ofstream(Given["json"].as<std::string>()) << Document.dump(2) << '\n';
+  if (Parsed.count("json") > 0)
+    std::ofstream(Parsed["json"].as<std::string>()) << Document.dump(2) << '\n';
   return AllMet ? 0 : 1;
 }
 
--- a/bench/policy/modelled_target.cpp
+++ b/bench/policy/modelled_target.cpp
@@ -10,45 +10,47 @@
 
 constexpr Duration TickPeriod = std::chrono::milliseconds(10);
 constexpr Duration RefusalLatency = std::chrono::milliseconds(1);
-constexpr double FinishedWork = 1; // microseconds
+// A request with at most this much work left counts as finished, microseconds.
+constexpr double RemainingWorkTolerance = 1;
 
 } // namespace
 
 ModelledTarget::ModelledTarget(EventLoop &Loop, TargetModel Model)
     : m_Loop(Loop), m_Model(Model), m_LastAdvance(Loop.now()),
-      m_ColdSince(Loop.now()), m_BearableAt(Loop.now()) {
+      m_ColdSince(Loop.now()), m_LastSustainable(Loop.now()) {
   if (!Model.m_StartsCold)
-    m_ColdSince -= Model.m_Warming;
+    m_ColdSince -= Model.m_WarmUpTime;
   tick();
 }
 
-std::uint64_t ModelledTarget::start(Duration Work, Done Report) {
-  const std::uint64_t Order = m_NextOrder++;
+std::uint64_t ModelledTarget::start(Duration Work,
+                                    CompletionHandler OnCompletion) {
+  const std::uint64_t Request = m_NextRequest++;
   if (m_Loop.now() < m_DownUntil) {
-    m_Loop.after(RefusalLatency, [Report = std::move(Report)] {
-      Report({.m_Latency = RefusalLatency, .m_Failed = true});
+    m_Loop.after(RefusalLatency, [OnCompletion = std::move(OnCompletion)] {
+      OnCompletion({.m_Latency = RefusalLatency, .m_Failed = true});
     });
-    return Order;
+    return Request;
   }
   advance();
-  m_Running[Order] = {.m_WorkLeft = static_cast<double>(Work.count()),
-                      .m_Start = m_Loop.now(),
-                      .m_Report = std::move(Report)};
+  m_Running[Request] = {.m_WorkLeft = static_cast<double>(Work.count()),
+                        .m_Start = m_Loop.now(),
+                        .m_OnCompletion = std::move(OnCompletion)};
   rescheduleNext();
-  return Order;
+  return Request;
 }
 
-void ModelledTarget::cancel(std::uint64_t Order) {
+void ModelledTarget::cancel(std::uint64_t Request) {
   advance();
-  m_Running.erase(Order);
+  m_Running.erase(Request);
   rescheduleNext();
 }
 
-void ModelledTarget::turnCold(bool Fails) {
+void ModelledTarget::becomeCold(bool FailsRequests) {
   advance();
   m_ColdSince = m_Loop.now();
-  m_BearableAt = m_Loop.now();
-  if (Fails) {
+  m_LastSustainable = m_Loop.now();
+  if (FailsRequests) {
     m_DownUntil = m_Loop.now() + m_Model.m_Downtime;
     m_ColdSince = m_DownUntil;
     failAll();
@@ -62,17 +64,18 @@
   rescheduleNext();
 }
 
-double ModelledTarget::borne() const {
+double ModelledTarget::effectiveSlots() const {
   const auto Age = static_cast<double>((m_Loop.now() - m_ColdSince).count());
-  const double Warmth = std::clamp(
-      Age / static_cast<double>(m_Model.m_Warming.count()), 0.0, 1.0);
-  const double Share = m_Model.m_ColdShare + (1 - m_Model.m_ColdShare) * Warmth;
+  const double WarmUpProgress = std::clamp(
+      Age / static_cast<double>(m_Model.m_WarmUpTime.count()), 0.0, 1.0);
+  const double Share =
+      m_Model.m_ColdShare + (1 - m_Model.m_ColdShare) * WarmUpProgress;
   return Share * m_Model.m_Slots;
 }
 
 double ModelledTarget::speed() const {
   const auto Count = static_cast<double>(m_Running.size());
-  return std::min(1.0, borne() / std::max(Count, 1.0)) / m_Slowness;
+  return std::min(1.0, effectiveSlots() / std::max(Count, 1.0)) / m_Slowness;
 }
 
 void ModelledTarget::advance() {
@@ -80,7 +83,7 @@
       static_cast<double>((m_Loop.now() - m_LastAdvance).count());
   m_LastAdvance = m_Loop.now();
   const double Progress = Elapsed * speed();
-  for (auto &[Order, State] : m_Running)
+  for (auto &[Request, State] : m_Running)
     State.m_WorkLeft -= Progress;
 }
 
@@ -89,7 +92,7 @@
   if (m_Running.empty())
     return;
   double Least = m_Running.begin()->second.m_WorkLeft;
-  for (const auto &[Order, State] : m_Running)
+  for (const auto &[Request, State] : m_Running)
     Least = std::min(Least, State.m_WorkLeft);
   const double Time = std::max(Least, 0.0) / speed() + 1;
   m_Loop.after(Duration(static_cast<Duration::rep>(Time)),
@@ -100,27 +103,27 @@
   if (Generation != m_Generation)
     return;
   advance();
-  std::vector<Running> Finished;
+  std::vector<RunningRequest> Finished;
   std::erase_if(m_Running, [&](auto &Entry) {
-    if (Entry.second.m_WorkLeft > FinishedWork)
+    if (Entry.second.m_WorkLeft > RemainingWorkTolerance)
       return false;
     Finished.push_back(std::move(Entry.second));
     return true;
   });
   rescheduleNext();
-  for (const Running &Order : Finished)
-    Order.m_Report({.m_Latency = m_Loop.now() - Order.m_Start});
+  for (const RunningRequest &Request : Finished)
+    Request.m_OnCompletion({.m_Latency = m_Loop.now() - Request.m_Start});
 }
 
 void ModelledTarget::tick() {
   m_Loop.after(TickPeriod, [this] { tick(); });
   const auto Count = static_cast<double>(m_Running.size());
-  if (Count <= borne() * m_Model.m_BreakingPoint)
-    m_BearableAt = m_Loop.now();
-  if (m_Loop.now() - m_BearableAt > m_Model.m_Patience) {
+  if (Count <= effectiveSlots() * m_Model.m_OverloadRatio)
+    m_LastSustainable = m_Loop.now();
+  if (m_Loop.now() - m_LastSustainable > m_Model.m_OverloadTolerance) {
     ++m_Collapses;
-    turnCold(/*Fails=*/true);
-  } else if (m_Loop.now() - m_ColdSince < m_Model.m_Warming) {
+    becomeCold(/*FailsRequests=*/true);
+  } else if (m_Loop.now() - m_ColdSince < m_Model.m_WarmUpTime) {
     advance();
     rescheduleNext();
   }
@@ -128,8 +131,8 @@
 
 void ModelledTarget::failAll() {
   const auto Lost = std::exchange(m_Running, {});
-  for (const auto &[Order, State] : Lost)
-    State.m_Report(
+  for (const auto &[Request, State] : Lost)
+    State.m_OnCompletion(
         {.m_Latency = m_Loop.now() - State.m_Start, .m_Failed = true});
 }
 
--- a/bench/policy/modelled_target.h
+++ b/bench/policy/modelled_target.h
@@ -1,4 +1,5 @@
-// A modelled target: slots, a cold start, and collapse when pushed too far.
+// Model of a target with a number of slots, a cold start and collapse under
+// lasting overload.
 #pragma once
 
 #include "policy/event_loop.h"
@@ -10,46 +11,53 @@
 
 struct TargetModel {
   std::uint32_t m_Slots = 10;
-  /// Share of the slots that a target bears when it starts.
+  /// Fraction of the slots that a cold target can use right after its start.
   double m_ColdShare = 0.2;
-  /// Time until a cold target bears all its slots.
-  Duration m_Warming = std::chrono::seconds(10);
-  /// Running orders over what it bears, that it stands for m_Patience.
-  double m_BreakingPoint = 1.5;
-  Duration m_Patience = std::chrono::milliseconds(250);
-  /// Time during which a collapsed target refuses connections.
+  /// Time from the start until all slots can be used.
+  Duration m_WarmUpTime = std::chrono::seconds(10);
+  /// The target collapses if the number of running requests exceeds this
+  /// multiple of its usable slots for longer than m_OverloadTolerance.
+  double m_OverloadRatio = 1.5;
+  Duration m_OverloadTolerance = std::chrono::milliseconds(250);
+  /// Time for which a target refuses requests after a failure or collapse.
   Duration m_Downtime = std::chrono::seconds(1);
   bool m_StartsCold = false;
 };
 
-/// Orders share what the target bears: with more orders than that, each slows
-/// down. Invariant: every started order is reported exactly once, unless it is
-/// cancelled.
+/// Processor sharing: with more requests than usable slots, each request slows
+/// down. Invariant: the completion handler of every started request is called
+/// exactly once, unless the request is cancelled.
 class ModelledTarget {
 public:
-  using Done = std::function<void(const OrderResult &)>;
+  using CompletionHandler = std::function<void(const OrderResult &)>;
 
   ModelledTarget(EventLoop &Loop, TargetModel Model);
 
-  /// \param Work how long the order takes when it runs undisturbed.
-  std::uint64_t start(Duration Work, Done Report);
-  void cancel(std::uint64_t Order);
-  /// Loses its warmth; with \p Fails it also fails its orders and is down for
-  /// m_Downtime.
-  void turnCold(bool Fails);
-  /// Every order takes \p Factor times as long from now on.
+  /// Starts a request.
+  ///
+  /// \param Work its service time on a target that is neither overloaded nor
+  /// slowed.
+  /// \returns an id for cancel().
+  std::uint64_t start(Duration Work, CompletionHandler OnCompletion);
+  void cancel(std::uint64_t Request);
+  /// Starts the warm-up again. With \p FailsRequests the requests in progress
+  /// fail and the target refuses requests for m_Downtime.
+  void becomeCold(bool FailsRequests);
+  /// From now on every request takes \p Factor times as long.
   void setSlowness(double Factor);
 
   std::uint32_t collapses() const { return m_Collapses; }
 
 private:
-  struct Running {
+  struct RunningRequest {
     double m_WorkLeft = 0;
     TimePoint m_Start;
-    Done m_Report;
+    CompletionHandler m_OnCompletion;
   };
 
-  double borne() const;
+  /// Number of slots that can be used at the present warm-up state.
+  double effectiveSlots() const;
+  /// Progress of each request, as a fraction of its undisturbed speed.
   double speed() const;
   void advance();
   void rescheduleNext();
@@ -59,14 +67,15 @@
 
   EventLoop &m_Loop;
   TargetModel m_Model;
-  std::unordered_map<std::uint64_t, Running> m_Running;
-  std::uint64_t m_NextOrder = 1;
-  // Completions scheduled before the last change are void.
+  std::unordered_map<std::uint64_t, RunningRequest> m_Running;
+  std::uint64_t m_NextRequest = 1;
+  // Completion events scheduled in an earlier generation are ignored.
   std::uint64_t m_Generation = 0;
   TimePoint m_LastAdvance;
   TimePoint m_ColdSince;
   TimePoint m_DownUntil;
-  TimePoint m_BearableAt;
+  // Last time at which the load was within m_OverloadRatio.
+  TimePoint m_LastSustainable;
   double m_Slowness = 1;
   std::uint32_t m_Collapses = 0;
 };
--- a/bench/policy/picker_run.cpp
+++ b/bench/policy/picker_run.cpp
@@ -1,4 +1,4 @@
-// Drives Pickers the way entrances do, hedges and one retry included.
+// Drives Pickers as entrance daemons do, with hedges and budgeted retries.
 #include "policy/picker_run.h"
 
 #include "policy/arrivals.h"
@@ -27,8 +27,8 @@
   std::size_t m_Entrance = 0;
   Duration m_Work{0};
   TimePoint m_Arrival;
-  bool m_Counted = false;
-  std::vector<Attempt> m_Open;
+  bool m_Measured = false;
+  std::vector<Attempt> m_OpenAttempts;
   std::vector<SessionId> m_Tried;
 };
 
@@ -42,12 +42,13 @@
       m_Sessions.emplace_back(I + 1);
     }
     for (std::uint32_t I = 0; I < Options.m_Entrances; ++I)
-      m_Entrances.push_back({Picker(Options.m_Picker, m_Arrivals.bits())});
+      m_Entrances.push_back(
+          {Picker(Options.m_Picker, m_Arrivals.randomBits())});
   }
 
   PickerRunResult run() {
     if (m_Options.m_Slow) {
-      const SlowSpell Slow = *m_Options.m_Slow;
+      const SlowPeriod Slow = *m_Options.m_Slow;
       m_Loop.after(Slow.m_From, [this, Slow] {
         m_Targets.front()->target().setSlowness(Slow.m_Factor);
       });
@@ -63,25 +64,25 @@
   void scheduleArrival() {
     const double Slots = m_Options.m_Targets * m_Options.m_Target.m_Slots;
     const double MeanGap = static_cast<double>(m_Options.m_MeanWork.count()) /
-                           (m_Options.m_Share * Slots);
-    m_Loop.after(m_Arrivals.gap(MeanGap), [this] {
+                           (m_Options.m_OfferedLoad * Slots);
+    m_Loop.after(m_Arrivals.interarrivalTime(MeanGap), [this] {
       scheduleArrival();
-      arrive();
+      onArrival();
     });
   }
 
-  void arrive() {
+  void onArrival() {
     const std::uint64_t Id = m_NextRequest++;
-    Request &Added = m_Requests[Id];
-    Added.m_Entrance = Id % m_Entrances.size();
-    Added.m_Work = m_Arrivals.work(m_Options.m_MeanWork);
-    Added.m_Arrival = m_Loop.now();
-    Added.m_Counted = m_Loop.now() >= TimePoint(m_Options.m_WarmUp);
-    m_Result.m_Offered += Added.m_Counted ? 1 : 0;
-    Entrance &Through = m_Entrances.at(Added.m_Entrance);
-    Through.m_Retries.onFirstAttempt();
-    m_Loop.after(m_Options.m_Deadline, [this, Id] { lose(Id); });
-    const auto Delay = Through.m_Picker.hedgeDelay(m_Loop.now());
+    Request &NewRequest = m_Requests[Id];
+    NewRequest.m_Entrance = Id % m_Entrances.size();
+    NewRequest.m_Work = m_Arrivals.serviceTime(m_Options.m_MeanWork);
+    NewRequest.m_Arrival = m_Loop.now();
+    NewRequest.m_Measured = m_Loop.now() >= TimePoint(m_Options.m_MeasureFrom);
+    m_Result.m_Offered += NewRequest.m_Measured ? 1 : 0;
+    Entrance &Receiver = m_Entrances.at(NewRequest.m_Entrance);
+    Receiver.m_Retries.onFirstAttempt();
+    m_Loop.after(m_Options.m_Deadline, [this, Id] { failRequest(Id); });
+    const auto Delay = Receiver.m_Picker.hedgeDelay(m_Loop.now());
     send(Id);
     if (Delay)
       m_Loop.after(*Delay, [this, Id] { hedge(Id); });
@@ -89,20 +90,20 @@
 
   void send(std::uint64_t Id) {
     Request &Sent = m_Requests.at(Id);
-    Picker &Choice = m_Entrances.at(Sent.m_Entrance).m_Picker;
+    Picker &TargetPicker = m_Entrances.at(Sent.m_Entrance).m_Picker;
     const SessionId Target =
-        *Choice.pick(m_Sessions, Sent.m_Tried, m_Loop.now());
-    Choice.started(Target, m_Loop.now());
-    if (Sent.m_Counted) {
+        *TargetPicker.pick(m_Sessions, Sent.m_Tried, m_Loop.now());
+    TargetPicker.started(Target, m_Loop.now());
+    if (Sent.m_Measured) {
       m_Result.m_ExtraSends += Sent.m_Tried.empty() ? 0 : 1;
       m_Result.m_SendsToFirst += Target == m_Sessions.front() ? 1 : 0;
     }
     Sent.m_Tried.push_back(Target);
-    const RequestHandle Handle = gated(Target).send(
+    const RequestHandle Handle = gatedTarget(Target).send(
         Urgency::Interactive, Sent.m_Work,
         Sent.m_Arrival + m_Options.m_Deadline,
-        [this, Id, Target](SendEnd How) { onEnd(Id, Target, How); });
-    Sent.m_Open.push_back({Target, Handle, m_Loop.now()});
+        [this, Id, Target](SendResult Result) { onEnd(Id, Target, Result); });
+    Sent.m_OpenAttempts.push_back({Target, Handle, m_Loop.now()});
   }
 
   void hedge(std::uint64_t Id) {
@@ -114,44 +115,45 @@
       send(Id);
   }
 
-  void onEnd(std::uint64_t Id, SessionId Target, SendEnd How) {
+  void onEnd(std::uint64_t Id, SessionId Target, SendResult Result) {
     Request &Ended = m_Requests.at(Id);
-    const auto Open =
-        std::ranges::find(Ended.m_Open, Target, &Attempt::m_Target);
-    const Duration Latency = m_Loop.now() - Open->m_Sent;
-    Ended.m_Open.erase(Open);
-    Entrance &Through = m_Entrances.at(Ended.m_Entrance);
-    Through.m_Picker.finished(Target, Latency, How != SendEnd::Answered,
-                              m_Loop.now());
-    if (How == SendEnd::Answered)
+    const auto EndedAttempt =
+        std::ranges::find(Ended.m_OpenAttempts, Target, &Attempt::m_Target);
+    const Duration Latency = m_Loop.now() - EndedAttempt->m_Sent;
+    Ended.m_OpenAttempts.erase(EndedAttempt);
+    Entrance &Receiver = m_Entrances.at(Ended.m_Entrance);
+    Receiver.m_Picker.finished(Target, Latency, Result != SendResult::Answered,
+                               m_Loop.now());
+    if (Result == SendResult::Answered)
       close(Id, m_Loop.now() - Ended.m_Arrival);
-    else if (Ended.m_Open.empty() && Through.m_Retries.takeRetry())
+    else if (Ended.m_OpenAttempts.empty() && Receiver.m_Retries.takeRetry())
       send(Id);
-    else if (Ended.m_Open.empty())
-      lose(Id);
+    else if (Ended.m_OpenAttempts.empty())
+      failRequest(Id);
   }
 
-  void lose(std::uint64_t Id) {
+  void failRequest(std::uint64_t Id) {
     const auto Found = m_Requests.find(Id);
     if (Found == m_Requests.end())
       return;
-    m_Result.m_Lost += Found->second.m_Counted ? 1 : 0;
+    m_Result.m_Lost += Found->second.m_Measured ? 1 : 0;
     close(Id, m_Options.m_Deadline);
   }
 
   void close(std::uint64_t Id, Duration Latency) {
     const Request Closed = m_Requests.at(Id);
     m_Requests.erase(Id);
-    if (Closed.m_Counted)
+    if (Closed.m_Measured)
       m_Result.m_Latency.add(Latency);
-    Picker &Choice = m_Entrances.at(Closed.m_Entrance).m_Picker;
-    for (const Attempt &Left : Closed.m_Open) {
-      gated(Left.m_Target).cancel(Left.m_Handle);
-      Choice.abandoned(Left.m_Target, m_Loop.now() - Left.m_Sent, m_Loop.now());
+    Picker &TargetPicker = m_Entrances.at(Closed.m_Entrance).m_Picker;
+    for (const Attempt &Remaining : Closed.m_OpenAttempts) {
+      gatedTarget(Remaining.m_Target).cancel(Remaining.m_Handle);
+      TargetPicker.abandoned(Remaining.m_Target,
+                             m_Loop.now() - Remaining.m_Sent, m_Loop.now());
     }
   }
 
-  GatedTarget &gated(SessionId Target) {
+  GatedTarget &gatedTarget(SessionId Target) {
     return *m_Targets.at(Target.value() - 1);
   }
 
--- a/bench/policy/picker_run.h
+++ b/bench/policy/picker_run.h
@@ -1,4 +1,5 @@
-// Entrances that choose among modelled targets, each behind its own gate.
+// Entrance daemons that choose among modelled targets, each behind its own
+// admission gate.
 #pragma once
 
 #include "policy/gate_run.h"
@@ -12,27 +13,27 @@
   AdmissionOptions m_Gate;
   TargetModel m_Target;
   std::uint32_t m_Targets = 3;
-  /// Daemons that callers enter at; each has a picker of its own.
+  /// Number of daemons that accept callers' requests; each has its own picker.
   std::uint32_t m_Entrances = 3;
-  /// Offered work as a share of what all targets bear.
-  double m_Share = 0.4;
+  /// Offered load as a fraction of the capacity of all targets.
+  double m_OfferedLoad = 0.4;
   Duration m_MeanWork = std::chrono::milliseconds(20);
   Duration m_Deadline = std::chrono::seconds(2);
-  /// Slows the first target.
-  std::optional<SlowSpell> m_Slow;
-  /// Results count from here on.
-  Duration m_WarmUp = std::chrono::seconds(20);
+  /// Period in which the first target is slow.
+  std::optional<SlowPeriod> m_Slow;
+  /// Requests that arrive before this time are not measured.
+  Duration m_MeasureFrom = std::chrono::seconds(20);
   Duration m_Length = std::chrono::seconds(80);
   std::uint64_t m_Seed = 1;
 };
 
 struct PickerRunResult {
-  /// Latency of answered requests; the deadline for the others.
+  /// Latency of answered requests; the time to the deadline for the others.
   Samples m_Latency;
   std::uint64_t m_Offered = 0;
-  /// Requests without an answer in time.
+  /// Requests that were not answered before their deadline.
   std::uint64_t m_Lost = 0;
-  /// Sends beyond the first one of each request.
+  /// Hedges and retries: sends after the first one of a request.
   std::uint64_t m_ExtraSends = 0;
   /// Sends to the first target.
   std::uint64_t m_SendsToFirst = 0;
@@ -43,7 +44,8 @@
   }
 };
 
-/// Runs to the end in simulated time; the same options give the same result.
+/// Performs the whole run in simulated time; the same options give the same
+/// result.
 PickerRunResult runPicker(const PickerRunOptions &Options);
 
 } // namespace balsamwheel::policy
--- a/bench/policy/retry_run.cpp
+++ b/bench/policy/retry_run.cpp
@@ -1,4 +1,4 @@
-// Drives a RetryBudget through an outage.
+// Drives a RetryBudget through an outage of all targets.
 #include "policy/retry_run.h"
 
 #include "policy/arrivals.h"
@@ -8,6 +8,7 @@
 
 namespace {
 
+// Time until a failed attempt is reported.
 constexpr Duration AttemptLatency = std::chrono::milliseconds(5);
 
 class RetryRun {
@@ -24,17 +25,19 @@
 
 private:
   void scheduleArrival() {
-    m_Loop.after(m_Arrivals.gap(1e6 / m_Options.m_RequestsPerSecond), [this] {
-      scheduleArrival();
-      m_Budget.onFirstAttempt();
-      ++m_Result.m_FirstAttempts;
-      m_Result.m_OutageFirstAttempts += inOutage() ? 1 : 0;
-      attempt(0);
-    });
+    m_Loop.after(
+        m_Arrivals.interarrivalTime(1e6 / m_Options.m_RequestsPerSecond),
+        [this] {
+          scheduleArrival();
+          m_Budget.onFirstAttempt();
+          ++m_Result.m_FirstAttempts;
+          m_Result.m_OutageFirstAttempts += inOutage() ? 1 : 0;
+          attempt(0);
+        });
   }
 
   void attempt(std::uint32_t RetriesSoFar) {
-    const bool Fails = m_Arrivals.chance(
+    const bool Fails = m_Arrivals.bernoulli(
         inOutage() ? m_Options.m_OutageFailureShare : m_Options.m_FailureShare);
     if (Fails)
       m_Loop.after(AttemptLatency,
@@ -45,10 +48,11 @@
     const bool Allowed = RetriesSoFar < m_Options.m_MaxRetries &&
                          (!m_Options.m_UseBudget || m_Budget.takeRetry());
     if (!Allowed) {
-      m_Result.m_LostOutside += inOutage() ? 0 : 1;
+      m_Result.m_LostOutsideOutage += inOutage() ? 0 : 1;
       return;
     }
-    const Duration Delay = m_Budget.delay(RetriesSoFar + 1, m_Arrivals.bits());
+    const Duration Delay =
+        m_Budget.delay(RetriesSoFar + 1, m_Arrivals.randomBits());
     m_Loop.after(Delay, [this, RetriesSoFar] {
       ++m_Result.m_Retries;
       m_Result.m_OutageRetries += inOutage() ? 1 : 0;
--- a/bench/policy/retry_run.h
+++ b/bench/policy/retry_run.h
@@ -1,4 +1,4 @@
-// Callers' requests that are retried while all targets fail for a while.
+// Retries of callers' requests during an outage of all targets.
 #pragma once
 
 #include "balsamwheel/coordination.h"
@@ -9,12 +9,13 @@
 
 struct RetryRunOptions {
   RetryBudgetOptions m_Budget;
-  /// False retries every failure: the baseline.
+  /// If false, every failure is retried up to m_MaxRetries times (the
+  /// baseline).
   bool m_UseBudget = true;
-  /// Retries of one request at most.
+  /// Maximum number of retries of one request.
   std::uint32_t m_MaxRetries = 3;
   double m_RequestsPerSecond = 500;
-  /// Share of attempts that fail outside and inside the outage.
+  /// Fractions of the attempts that fail, outside and during the outage.
   double m_FailureShare = 0.01;
   double m_OutageFailureShare = 1.0;
   Duration m_OutageFrom = std::chrono::seconds(20);
@@ -26,20 +27,21 @@
 struct RetryRunResult {
   std::uint64_t m_FirstAttempts = 0;
   std::uint64_t m_Retries = 0;
-  /// The same during the outage only.
+  /// First attempts and retries during the outage.
   std::uint64_t m_OutageFirstAttempts = 0;
   std::uint64_t m_OutageRetries = 0;
-  /// Requests that failed in the end, outside the outage.
-  std::uint64_t m_LostOutside = 0;
+  /// Requests that were given up outside the outage.
+  std::uint64_t m_LostOutsideOutage = 0;
 
-  /// Attempts that targets saw over requests offered, during the outage.
-  double outageLoad() const {
+  /// Attempts per offered request during the outage.
+  double outageAmplification() const {
     return static_cast<double>(m_OutageFirstAttempts + m_OutageRetries) /
            static_cast<double>(m_OutageFirstAttempts);
   }
 };
 
-/// Runs to the end in simulated time; the same options give the same result.
+/// Performs the whole run in simulated time; the same options give the same
+/// result.
 RetryRunResult runRetries(const RetryRunOptions &Options);
 
 } // namespace balsamwheel::policy
--- a/bench/policy/samples.h
+++ b/bench/policy/samples.h
@@ -13,7 +13,8 @@
   void add(Duration Latency) { m_Values.push_back(Latency); }
   std::size_t count() const { return m_Values.size(); }
 
-  /// Returns the exact quantile, 0 without samples.
+  /// Returns the exact quantile at \p Share, in [0, 1]; 0 without samples.
+  /// Complexity: sorts a copy of the samples.
   Duration quantile(double Share) const {
     if (m_Values.empty())
       return Duration(0);
--- a/bench/policy/straggler_run.cpp
+++ b/bench/policy/straggler_run.cpp
@@ -1,4 +1,4 @@
-// Shards over gated targets, and a watch that moves them off a slow one.
+// Distributes shards over gated targets and moves them away from a slow one.
 #include "policy/straggler_run.h"
 
 #include "policy/arrivals.h"
@@ -10,10 +10,11 @@
 
 namespace {
 
-constexpr Duration WatchPeriod = std::chrono::milliseconds(100);
+constexpr Duration CheckPeriod = std::chrono::milliseconds(100);
 constexpr Duration MeanWork = std::chrono::milliseconds(10);
 constexpr Duration Deadline = std::chrono::seconds(1);
-constexpr double SampleWeight = 1.0 / 16;
+// Weight of a new sample in the moving average.
+constexpr double SmoothingFactor = 1.0 / 16;
 
 class StragglerRun {
 public:
@@ -28,13 +29,13 @@
 
   StragglerRunResult run() {
     ModelledTarget &Slowed = m_Targets.front()->target();
-    const SlowSpell Slow = m_Options.m_Slow;
+    const SlowPeriod Slow = m_Options.m_Slow;
     m_Loop.after(Slow.m_From,
                  [&Slowed, Slow] { Slowed.setSlowness(Slow.m_Factor); });
     m_Loop.after(Slow.m_Until, [&Slowed] { Slowed.setSlowness(1); });
     scheduleArrival();
-    // The gates come out of their cold start first.
-    m_Loop.after(m_Options.m_WarmUp, [this] { watch(); });
+    // The check starts only after the gates have left their cold limit.
+    m_Loop.after(m_Options.m_MeasureFrom, [this] { checkLatency(); });
     m_Loop.runUntil(TimePoint(m_Options.m_Length));
     m_Result.m_Churn =
         static_cast<double>(m_Moves) / static_cast<double>(m_Shards.size());
@@ -44,59 +45,62 @@
 private:
   void scheduleArrival() {
     const double Slots = m_Options.m_Owners * m_Options.m_Target.m_Slots;
-    const double MeanGap =
-        static_cast<double>(MeanWork.count()) / (m_Options.m_Share * Slots);
-    m_Loop.after(m_Arrivals.gap(MeanGap), [this] {
+    const double MeanGap = static_cast<double>(MeanWork.count()) /
+                           (m_Options.m_OfferedLoad * Slots);
+    m_Loop.after(m_Arrivals.interarrivalTime(MeanGap), [this] {
       scheduleArrival();
-      arrive();
+      onArrival();
     });
   }
 
-  void arrive() {
+  void onArrival() {
     const std::uint32_t Owner =
-        m_Shards.at(m_Arrivals.bits() % m_Shards.size());
+        m_Shards.at(m_Arrivals.randomBits() % m_Shards.size());
     const TimePoint Arrival = m_Loop.now();
-    const bool Counted = Arrival >= TimePoint(m_Options.m_WarmUp);
-    m_Result.m_Offered += Counted ? 1 : 0;
+    const bool Measured = Arrival >= TimePoint(m_Options.m_MeasureFrom);
+    m_Result.m_Offered += Measured ? 1 : 0;
     m_Targets.at(Owner)->send(
-        Urgency::Interactive, m_Arrivals.work(MeanWork), Arrival + Deadline,
-        [this, Owner, Arrival, Counted](SendEnd How) {
-          onEnd(Owner, m_Loop.now() - Arrival, Counted, How);
+        Urgency::Interactive, m_Arrivals.serviceTime(MeanWork),
+        Arrival + Deadline,
+        [this, Owner, Arrival, Measured](SendResult Result) {
+          onEnd(Owner, m_Loop.now() - Arrival, Measured, Result);
         });
   }
 
-  void onEnd(std::uint32_t Owner, Duration Latency, bool Counted, SendEnd How) {
-    const bool InTime = How == SendEnd::Answered && Latency <= Deadline;
-    if (Counted) {
+  void onEnd(std::uint32_t Owner, Duration Latency, bool Measured,
+             SendResult Result) {
+    const bool InTime = Result == SendResult::Answered && Latency <= Deadline;
+    if (Measured) {
       m_Result.m_Latency.add(InTime ? Latency : Deadline);
       m_Result.m_Lost += InTime ? 0 : 1;
     }
     if (Owner != 0)
       return;
     const auto Sample = static_cast<double>(
-        (How == SendEnd::Answered ? Latency : Deadline).count());
-    m_Recent += (Sample - m_Recent) * SampleWeight;
+        (Result == SendResult::Answered ? Latency : Deadline).count());
+    m_SmoothedLatency += (Sample - m_SmoothedLatency) * SmoothingFactor;
   }
 
-  void watch() {
-    m_Loop.after(WatchPeriod, [this] { watch(); });
-    const bool Slow = m_Recent > static_cast<double>(MeanWork.count()) *
-                                     m_Options.m_Response.m_SlowRatio;
+  void checkLatency() {
+    m_Loop.after(CheckPeriod, [this] { checkLatency(); });
+    const bool Slow =
+        m_SmoothedLatency > static_cast<double>(MeanWork.count()) *
+                                m_Options.m_Response.m_SlowRatio;
     if (Slow != m_Slow)
       m_ChangedAt = m_Loop.now();
     m_Slow = Slow;
-    const Duration Lasted = m_Loop.now() - m_ChangedAt;
+    const Duration StateAge = m_Loop.now() - m_ChangedAt;
     const StragglerResponse &Response = m_Options.m_Response;
     if (!Response.m_MoveAfter)
       return;
-    if (Slow && !m_Moved && Lasted >= *Response.m_MoveAfter)
-      moveOut();
-    else if (!Slow && m_Moved && Lasted >= Response.m_ReturnAfter)
-      moveBack();
+    if (Slow && !m_ShardsMoved && StateAge >= *Response.m_MoveAfter)
+      moveShardsAway();
+    else if (!Slow && m_ShardsMoved && StateAge >= Response.m_ReturnAfter)
+      returnShards();
   }
 
-  void moveOut() {
-    m_Moved = true;
+  void moveShardsAway() {
+    m_ShardsMoved = true;
     const auto Count = static_cast<std::uint32_t>(
         m_Options.m_Response.m_MoveShare * m_Options.m_ShardsPerOwner);
     for (std::uint32_t Shard = 0; Shard < Count; ++Shard)
@@ -105,8 +109,8 @@
     m_MovedCount = Count;
   }
 
-  void moveBack() {
-    m_Moved = false;
+  void returnShards() {
+    m_ShardsMoved = false;
     for (std::uint32_t Shard = 0; Shard < m_MovedCount; ++Shard)
       m_Shards.at(Shard) = 0;
     m_Moves += m_MovedCount;
@@ -116,12 +120,12 @@
   EventLoop m_Loop;
   Arrivals m_Arrivals;
   std::vector<std::unique_ptr<GatedTarget>> m_Targets;
-  // Owner of each shard.
+  // Index of the owner of each shard.
   std::vector<std::uint32_t> m_Shards;
-  // Smoothed latency of the first owner, microseconds.
-  double m_Recent = static_cast<double>(MeanWork.count());
+  // Exponential moving average of the first owner's latency, microseconds.
+  double m_SmoothedLatency = static_cast<double>(MeanWork.count());
   bool m_Slow = false;
-  bool m_Moved = false;
+  bool m_ShardsMoved = false;
   TimePoint m_ChangedAt;
   std::uint32_t m_MovedCount = 0;
   std::uint64_t m_Moves = 0;
--- a/bench/policy/straggler_run.h
+++ b/bench/policy/straggler_run.h
@@ -1,5 +1,5 @@
-// Owners of shards, one of which is slow for a while: what moving its shards
-// gains in latency and costs in moved keys.
+// Shard owners of which one is slow for a period: compares the latency gained
+// by moving its shards with the number of shards moved.
 #pragma once
 
 #include "policy/gate_run.h"
@@ -8,15 +8,18 @@
 
 namespace balsamwheel::policy {
 
-/// What to do about an owner whose target is slow.
+/// How to react to a shard owner whose target is slow.
 struct StragglerResponse {
-  /// The owner counts as slow at this multiple of its usual latency.
+  /// An owner counts as slow if its smoothed latency exceeds this multiple of
+  /// the mean service time.
   double m_SlowRatio = 3;
-  /// Shards move when it was slow for this long; none waits it out.
+  /// Time for which the owner has to be slow before its shards move; without a
+  /// value they never move.
   std::optional<Duration> m_MoveAfter;
-  /// Share of its shards that move; the rest show when it is quick again.
+  /// Fraction of its shards that move. The requests to the others show when the
+  /// owner is no longer slow.
   double m_MoveShare = 15.0 / 16;
-  /// They return when it was quick again for this long.
+  /// Time for which the owner must not be slow before its shards return.
   Duration m_ReturnAfter = std::chrono::seconds(30);
 };
 
@@ -26,20 +29,21 @@
   TargetModel m_Target;
   std::uint32_t m_Owners = 6;
   std::uint32_t m_ShardsPerOwner = 16;
-  /// Offered work as a share of what all targets bear.
-  double m_Share = 0.4;
-  SlowSpell m_Slow;
-  Duration m_WarmUp = std::chrono::seconds(20);
+  /// Offered load as a fraction of the capacity of all targets.
+  double m_OfferedLoad = 0.4;
+  SlowPeriod m_Slow;
+  Duration m_MeasureFrom = std::chrono::seconds(20);
   Duration m_Length = std::chrono::seconds(120);
   std::uint64_t m_Seed = 1;
 };
 
 struct StragglerRunResult {
-  /// Latency of answered requests; the deadline for the others.
+  /// Latency of requests answered in time; the time to the deadline for the
+  /// others.
   Samples m_Latency;
   std::uint64_t m_Offered = 0;
   std::uint64_t m_Lost = 0;
-  /// Moves of shards over the number of shards.
+  /// Number of shard moves divided by the number of shards.
   double m_Churn = 0;
 
   double lostShare() const {
@@ -48,7 +52,8 @@
   }
 };
 
-/// Runs to the end in simulated time; the same options give the same result.
+/// Performs the whole run in simulated time; the same options give the same
+/// result.
 StragglerRunResult runStraggler(const StragglerRunOptions &Options);
 
 } // namespace balsamwheel::policy
