--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The daemons under test, what surrounds them, and the faults."""
+"""The daemons under test, their targets, proxies and store, and the faults."""
 
 import asyncio
 import json
@@ -8,39 +8,41 @@
 import time
 
 import web
-from judge import Judge
+from oracle import Oracle
 from proxy import Proxy
 from store import Store
-from target import HEARTBEAT, Target
+from target import HEARTBEAT_S, Target
 
 ZONES = ("north", "south")
-# Name of the instance, its service, and whether that is divided by key.
-PLACES = (
+# Name of each instance, its service, and whether the service is divided by key.
+INSTANCES = (
     ("k1", "keyed", True),
     ("k2", "keyed", True),
     ("k3", "keyed", True),
     ("p1", "plain", False),
     ("p2", "plain", False),
 )
-GRACE = 6
+# The GraceS of the settings; a daemon may take five times as long to end.
+GRACE_S = 6
 
 
 class Daemon:
-    """A daemon process with its settings and the proxies before it."""
+    """A daemon process with its settings, its target and its proxies."""
 
     def __init__(self, fleet, index, name, service, keyed):
         self.fleet, self.name = fleet, name
-        # Loopback addresses of its own keep the fixed metrics port apart.
+        # Each daemon has its own loopback address because the metrics port is
+        # the same for all.
         self.host = f"127.{fleet.net}.{index + 1}.1"
         self.target = Target(fleet, name, service, keyed, self.host)
         self.process = None
         self.peer_port = 7600
 
     async def prepare(self, store_port):
-        self.to_store = Proxy("127.0.0.1", store_port)
-        self.to_peers = Proxy(self.host, self.peer_port)
-        await self.to_store.start("127.0.0.1")
-        await self.to_peers.start("127.0.0.1")
+        self.store_proxy = Proxy("127.0.0.1", store_port)
+        self.peer_proxy = Proxy(self.host, self.peer_port)
+        await self.store_proxy.start("127.0.0.1")
+        await self.peer_proxy.start("127.0.0.1")
         await self.target.start()
         self.path = os.path.join(self.fleet.folder, f"{self.name}.json")
         settings = {
@@ -56,7 +58,7 @@
             },
             "InternalPortRange": [self.peer_port, self.peer_port + 15],
             "Limits": {"MaxFds": 1000},
-            "HeartbeatS": HEARTBEAT,
+            "HeartbeatS": HEARTBEAT_S,
             "Bounds": ["GraceS=6", "DrainS=2.5", "MaxHoldS=10", "EvacuationS=5"],
             "Platform": {"Address": f"127.0.0.1:{self.to_store.port}"},
         }
@@ -75,43 +77,46 @@
             stderr=log,
         )
         log.close()
-        self.seen_version = 0
+        self.highest_seen_version = 0
 
     def alive(self):
         return self.process is not None and self.process.returncode is None
 
     def send(self, number):
+        """Sends a signal to the process, if it runs."""
         if self.alive():
             self.process.send_signal(number)
 
     async def stop(self, number):
-        """Ends the process by a signal and waits for its end."""
+        """Ends the process by a signal, waits for it and checks the exit code."""
         if not self.alive():
             return
         self.send(signal.SIGCONT)
         self.send(number)
         try:
-            await asyncio.wait_for(self.process.wait(), 5 * GRACE)
+            await asyncio.wait_for(self.process.wait(), 5 * GRACE_S)
         except asyncio.TimeoutError:
-            self.fleet.judge.fail(f"{self.name} didn't end on signal {number}")
+            self.fleet.oracle.fail(f"{self.name} did not exit after signal {number}")
             self.send(signal.SIGKILL)
             await self.process.wait()
         code = self.process.returncode
         if number == signal.SIGTERM and code != 0:
-            self.fleet.judge.fail(f"{self.name} ended with {code} on SIGTERM")
+            self.fleet.oracle.fail(f"{self.name} exited with code {code} after SIGTERM")
 
 
 class Fleet:
+    """All daemons of an episode, their store, callers and faults."""
+
     def __init__(self, program, seed, folder, net):
         self.program, self.folder, self.net = program, folder, net
         self.seed, self.random = seed, random.Random(seed)
-        self.judge = Judge()
+        self.oracle = Oracle()
         self.store = Store(seed)
-        self.broken_answers = 0.0
+        self.broken_answer_share = 0.0
         self.version = 1
         self.daemons = {
             name: Daemon(self, index, name, service, keyed)
-            for index, (name, service, keyed) in enumerate(PLACES)
+            for index, (name, service, keyed) in enumerate(INSTANCES)
         }
 
     @staticmethod
@@ -163,14 +168,18 @@
             await daemon.stop(signal.SIGTERM)
             await daemon.target.crash()
 
-    # Callers.
+    # Load.
 
     async def request(self, daemon, kind, key=None, timeout=3.5):
+        """Sends a request and checks its answer.
+
+        Returns the status, or None when no answer came.
+        """
         number = self.random.getrandbits(64)
         request = f"{number:016x}"
         unsafe = kind in ("write", "keywrite")
         if unsafe:
-            self.judge.unsafe.add(request)
+            self.oracle.unsafe.add(request)
         headers = {"Host": "h", "X-Request-Id": request, "X-Deadline-Ms": "3000"}
         if kind in ("key", "keywrite"):
             headers["X-Shard-Key"] = key
@@ -179,20 +188,20 @@
             status, fields, text = await web.call(
                 daemon.host, 7700, method, f"/{kind}/x", headers, body, timeout
             )
-        except (OSError, web.Broken, asyncio.TimeoutError) as error:
-            self.judge.count(f"no answer: {type(error).__name__}")
+        except (OSError, web.IncompleteMessage, asyncio.TimeoutError) as error:
+            self.oracle.count(f"no answer: {type(error).__name__}")
             return None
-        self.judge.answered(request, unsafe, status, fields, text)
+        self.oracle.check_answer(request, unsafe, status, fields, text)
         return status
 
     def draw_key(self):
-        """Busy keys are near each other, as on the platform."""
+        """Draws a key; the busy keys are close together, as on the platform."""
         if self.random.random() < 0.4:
             return 9000 + self.random.randrange(40)
         return self.random.randrange(65536)
 
-    async def callers(self, rate):
-        """Starts requests until it is cancelled."""
+    async def generate_load(self, rate):
+        """Starts requests at a mean rate per second until it is cancelled."""
         pending = set()
         while True:
             daemon = self.random.choice(list(self.daemons.values()))
@@ -202,136 +211,156 @@
             task.add_done_callback(pending.discard)
             await asyncio.sleep(self.random.expovariate(rate))
 
-    async def probe_versions(self):
-        """A daemon that has served a version's route serves it ever after."""
+    async def check_route_versions(self):
+        """Checks that a daemon never returns to an older configuration.
+
+        Each version adds a route: a daemon process that has served the route of a
+        version has to serve it from then on.
+        """
         while True:
             for daemon in self.daemons.values():
                 process, version = daemon.process, self.version
                 if version < 2 or not daemon.alive():
                     continue
-                before = daemon.seen_version
-                asked = before if before > 1 and self.random.random() < 0.5 else version
+                known = daemon.highest_seen_version
+                requested = known if known > 1 and self.random.random() < 0.5 else version
                 status = await self.request(daemon, f"v{asked}", timeout=1.0)
                 if daemon.process is not process:
                     continue
                 if status == 200:
-                    daemon.seen_version = max(daemon.seen_version, asked)
-                elif status == 404 and asked <= before:
-                    self.judge.fail(f"{daemon.name} went back behind version {before}")
+                    daemon.highest_seen_version = max(
+                        daemon.highest_seen_version, requested
+                    )
+                elif status == 404 and requested <= known:
+                    self.oracle.fail(
+                        f"{daemon.name} returned to a version older than {known}"
+                    )
             await asyncio.sleep(0.1)
 
     # Faults.
 
-    async def change_config(self, draw):
+    async def change_config(self, rng):
         self.version += 1
         await self.store.put("op", "config", self.config())
 
-    async def evacuate(self, draw):
-        zone = draw.choice(ZONES)
+    async def evacuate(self, rng):
+        zone = rng.choice(ZONES)
         await self.store.put("op", f"evacuate/{zone}", {})
-        await asyncio.sleep(draw.uniform(0.5, 3))
+        await asyncio.sleep(rng.uniform(0.5, 3))
         await self.store.put("op", f"evacuate/{zone}", None)
 
-    async def pause(self, daemon, draw):
+    async def pause(self, daemon, rng):
         daemon.send(signal.SIGSTOP)
-        await asyncio.sleep(draw.choice((0.2, 1.0, 4.0, 8.0)))
+        await asyncio.sleep(rng.choice((0.2, 1.0, 4.0, 8.0)))
         daemon.send(signal.SIGCONT)
 
-    async def restart(self, daemon, number, draw):
+    async def restart(self, daemon, number, rng):
         await daemon.stop(number)
-        await asyncio.sleep(draw.choice((0.0, 0.3, 2.0)))
+        await asyncio.sleep(rng.choice((0.0, 0.3, 2.0)))
         await daemon.start()
 
-    async def restart_target(self, daemon, draw):
+    async def restart_target(self, daemon, rng):
         await daemon.target.crash()
-        await asyncio.sleep(draw.choice((0.1, 1.0, 3.0)))
+        await asyncio.sleep(rng.choice((0.1, 1.0, 3.0)))
         await daemon.target.start()
 
-    async def retire_target(self, daemon, draw):
+    async def retire_target(self, daemon, rng):
         daemon.target.draining = True
         await asyncio.sleep(3.5)
-        await self.restart_target(daemon, draw)
-
-    async def store_down(self, how, draw):
-        self.store.down = how
-        await asyncio.sleep(draw.choice((0.5, 3.0, 7.0)))
-        self.store.down = None
-
-    async def store_poor(self, draw):
-        self.store.lost_answers, self.store.delay = 0.3, 0.1
-        await asyncio.sleep(draw.uniform(1, 5))
-        self.store.lost_answers, self.store.delay = 0.0, 0.0
-
-    async def harm(self, proxy, how, draw):
-        if how == "reset":
+        await self.restart_target(daemon, rng)
+
+    async def interrupt_store(self, mode, rng):
+        """The store refuses all requests ("refuse") or never answers ("silent")."""
+        self.store.outage = mode
+        await asyncio.sleep(rng.choice((0.5, 3.0, 7.0)))
+        self.store.outage = None
+
+    async def degrade_store(self, rng):
+        """The store is slow and loses a share of the answers to writes."""
+        self.store.lost_answer_share, self.store.delay = 0.3, 0.1
+        await asyncio.sleep(rng.uniform(1, 5))
+        self.store.lost_answer_share, self.store.delay = 0.0, 0.0
+
+    async def degrade_proxy(self, proxy, mode, rng):
+        """Resets, refuses, delays or silences the connections of a proxy."""
+        if mode == "reset":
             return proxy.reset()
-        if how == "cut":
-            proxy.cut = True
+        if mode == "cut":
+            proxy.refusing = True
             proxy.reset()
-        elif how == "delay":
-            proxy.delay = draw.choice((0.05, 0.4))
+        elif mode == "delay":
+            proxy.delay = rng.choice((0.05, 0.4))
         else:
-            proxy.silent = {how} if how != "both" else {"in", "out"}
-        await asyncio.sleep(draw.choice((0.5, 2.0, 6.0)))
-        proxy.heal()
+            proxy.silent_directions = {mode} if mode != "both" else {"in", "out"}
+        await asyncio.sleep(rng.choice((0.5, 2.0, 6.0)))
+        proxy.restore()
 
-    async def poor_answers(self, draw):
-        self.broken_answers = 0.1
+    async def break_answers(self, rng):
+        """Targets fail a share of the answers: none at all, or an error."""
+        self.broken_answer_share = 0.1
         await asyncio.sleep(3)
-        self.broken_answers = 0.0
+        self.broken_answer_share = 0.0
 
     def draw_fault(self, index):
-        """(name, coroutine function, arguments), daemon, pause of a fault.
+        """Draws the fault of this index.
 
-        Each fault has a generator of its own, so that a seed repeats the same
-        faults whatever the traffic draws.
+        Returns (name, coroutine function, arguments), the daemon that it concerns
+        and the time in seconds until the next fault. Each fault has its own random
+        number generator, so that a seed gives the same faults regardless of what
+        the load draws.
         """
-        draw = random.Random(f"{self.seed}/{index}")
-        daemon = draw.choice(list(self.daemons.values()))
-        proxy, where = draw.choice(
-            ((daemon.to_store, "store"), (daemon.to_peers, "peers"))
+        rng = random.Random(f"{self.seed}/{index}")
+        daemon = rng.choice(list(self.daemons.values()))
+        proxy, proxy_name = rng.choice(
+            ((daemon.store_proxy, "store"), (daemon.peer_proxy, "peers"))
         )
-        how = draw.choice(("reset", "cut", "delay", "in", "out", "both"))
-        down = draw.choice(("refuse", "silent"))
+        mode = rng.choice(("reset", "cut", "delay", "in", "out", "both"))
+        outage = rng.choice(("refuse", "silent"))
         faults = [
             (f"pause {daemon.name}", self.pause, (daemon,)),
             (f"kill {daemon.name}", self.restart, (daemon, signal.SIGKILL)),
             (f"term {daemon.name}", self.restart, (daemon, signal.SIGTERM)),
             (f"crash target {daemon.name}", self.restart_target, (daemon,)),
             (f"retire target {daemon.name}", self.retire_target, (daemon,)),
-            (f"store {down}", self.store_down, (down,)),
-            ("store poor", self.store_poor, ()),
-            (f"{where} of {daemon.name}: {how}", self.harm, (proxy, how)),
-            (f"{where} of {daemon.name}: {how}", self.harm, (proxy, how)),
+            (f"store {outage}", self.interrupt_store, (outage,)),
+            ("store poor", self.degrade_store, ()),
+            (f"{proxy_name} of {daemon.name}: {mode}", self.degrade_proxy, (proxy, mode)),
+            (f"{proxy_name} of {daemon.name}: {mode}", self.degrade_proxy, (proxy, mode)),
             ("config", self.change_config, ()),
             ("evacuate", self.evacuate, ()),
-            ("poor answers", self.poor_answers, ()),
-            ("history lost", self.lose_history, ()),
+            ("poor answers", self.break_answers, ()),
+            ("history lost", self.compact_store, ()),
         ]
-        name, fault, arguments = draw.choice(faults)
-        return (name, fault, arguments + (draw,)), daemon, draw.expovariate(1.2)
+        name, fault, arguments = rng.choice(faults)
+        return (name, fault, arguments + (rng,)), daemon, rng.expovariate(1.2)
 
-    async def lose_history(self, draw):
+    async def compact_store(self, rng):
+        """The store drops the history that its watches read from."""
         self.store.compact()
 
-    # The end of an episode.
+    # Recovery.
+
+    async def wait_until_served(self, limit):
+        """Waits until every daemon serves every kind of request.
 
-    async def served_again(self, limit):
-        """Whether every daemon serves every kind of request within the limit."""
+        Reports a violation if that takes longer than the limit, in seconds.
+        """
         until = time.monotonic() + limit
-        left = [
+        unserved = [
             (daemon, kind, key)
             for daemon in self.daemons.values()
             for kind in ("read", "key", f"v{self.version}")
             for key in ((0, 9010, 30000, 65535) if kind == "key" else (None,))
             if kind != "v1"
         ]
-        while left and time.monotonic() < until:
-            daemon, kind, key = left[0]
+        while unserved and time.monotonic() < until:
+            daemon, kind, key = unserved[0]
             if await self.request(daemon, kind, key, timeout=4) == 200:
-                left.pop(0)
+                unserved.pop(0)
             else:
                 await asyncio.sleep(0.1)
-        for daemon, kind, key in left:
-            self.judge.fail(f"{kind} {key} isn't served at {daemon.name} after all faults")
+        for daemon, kind, key in unserved:
+            self.oracle.fail(
+                f"{daemon.name} does not serve {kind} {key} after the faults"
+            )
             break
--- /dev/null
+++ b/tests/soak/oracle.py
@@ -0,0 +1,108 @@
+"""Test oracle: checks what callers and targets observe against the guarantees."""
+
+import time
+
+KEY_COUNT = 65536
+REFUSAL_STATUSES = (408, 421, 429, 503)
+
+
+class Oracle:
+    """Collects violations, and counts of the answers by kind."""
+
+    def __init__(self):
+        self.violations = []
+        self.runs = {}  # request id -> incarnations that executed it
+        self.refused = set()  # ids of unsafe requests answered as not executed
+        self.unsafe = set()
+        self.highest_fence = [0] * KEY_COUNT
+        self.fence_holder = [None] * KEY_COUNT
+        self.holders = {}  # incarnation -> {key range: end of its lease}
+        self.counts = {}
+
+    def fail(self, text):
+        if len(self.violations) < 20:
+            self.violations.append(f"{time.monotonic():.3f} {text}")
+
+    def count(self, what):
+        self.counts[what] = self.counts.get(what, 0) + 1
+
+    def record_run(self, request, incarnation):
+        """Records that a target starts to execute a request."""
+        runs = self.runs.setdefault(request, [])
+        runs.append(incarnation)
+        if request in self.unsafe and len(runs) > 1:
+            self.fail(f"unsafe request {request} was executed more than once: {runs}")
+        if request in self.refused:
+            self.fail(f"{request} was executed after it was answered as not executed")
+
+    def check_answer(self, request, unsafe, status, headers, body):
+        """Checks an answer against the recorded executions."""
+        self.count(f"{status}")
+        if status in REFUSAL_STATUSES:
+            if unsafe:
+                self.refused.add(request)
+                if request in self.runs:
+                    self.fail(f"{request} was answered {status} although it was executed")
+            return
+        if status != 200:
+            return
+        if headers.get("x-request-id") != request:
+            self.fail(f"{request} received the answer to {headers.get('x-request-id')}")
+        signature = headers.get("x-server-signature")
+        runner = signature.split("/")[0] if signature else None
+        if runner not in self.runs.get(request, []):
+            self.fail(f"{request} succeeded without being executed")
+        elif body != answer_body(runner, request, len(body)):
+            self.fail(f"{request} received an altered body")
+        elif str(len(body)) != signature.split("/")[1]:
+            self.fail(f"{request} received a truncated body")
+
+    def record_grant(self, incarnation, ranges):
+        """Records the (first, last, fence) ranges that a target accepted.
+
+        Fences must not decrease, a fence belongs to one incarnation, and no two
+        incarnations hold a key at the same time.
+        """
+        for first, last, fence in ranges:
+            for key in range(first, last + 1):
+                if fence < self.highest_fence[key]:
+                    self.fail(f"key {key}: fence decreased to {fence} at {incarnation}")
+                    break
+                if (
+                    fence == self.highest_fence[key]
+                    and self.fence_holder[key] not in (None, incarnation)
+                ):
+                    self.fail(
+                        f"key {key}: fence {fence} granted to both {incarnation} and "
+                        f"{self.fence_holder[key]}"
+                    )
+                    break
+                self.highest_fence[key] = fence
+                self.fence_holder[key] = incarnation
+        now = time.monotonic()
+        for other, held in self.holders.items():
+            if other == incarnation:
+                continue
+            for (first, last), end in held.items():
+                if end <= now:
+                    continue
+                for granted_first, granted_last, _ in ranges:
+                    if granted_first <= last and first <= granted_last:
+                        return self.fail(
+                            f"keys {max(first, mine_first)} to {min(last, mine_last)} "
+                            f"held by both {incarnation} and {other}"
+                        )
+
+    def record_holds(self, incarnation, ranges):
+        """Records all ranges that a target holds or executes: {(first, last): end}."""
+        self.holders[incarnation] = dict(ranges)
+
+    def record_end(self, incarnation):
+        """Records the end of an incarnation, and with it of its leases."""
+        self.holders.pop(incarnation, None)
+
+
+def answer_body(incarnation, request, length):
+    """Returns the body of an execution: a text that names it, repeated."""
+    text = f"{incarnation} ran {request} ".encode()
+    return (text * (length // len(text) + 1))[:length]
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts or silences connections."""
+"""Loopback TCP proxy that delays, resets, refuses or silences connections."""
 
 import asyncio
 import socket
@@ -6,57 +6,61 @@
 
 
 class Proxy:
+    """Forwards connections to one address; the fleet sets its faults."""
+
     def __init__(self, host, port):
-        self.to = (host, port)
-        self.cut = False  # new connections are refused, open ones reset
-        self.silent = set()  # directions that pass nothing: "in", "out"
-        self.delay = 0.0
-        self.open = set()
+        self.upstream = (host, port)
+        self.refusing = False  # new connections are reset; reset() ends the open ones
+        self.silent_directions = set()  # directions whose bytes are dropped: "in", "out"
+        self.delay = 0.0  # of each block of bytes, in seconds
+        self.open_writers = set()
 
     async def start(self, host):
-        self.server = await asyncio.start_server(self.connection, host, 0)
+        self.server = await asyncio.start_server(self.handle_connection, host, 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self.port
 
-    def heal(self):
-        self.cut = False
-        self.silent = set()
+    def restore(self):
+        self.refusing = False
+        self.silent_directions = set()
         self.delay = 0.0
 
     def reset(self):
-        for writer in list(self.open):
+        for writer in list(self.open_writers):
             self.abort(writer)
 
     @staticmethod
     def abort(writer):
-        raw = writer.get_extra_info("socket")
-        if raw is not None:
+        raw_socket = writer.get_extra_info("socket")
+        if raw_socket is not None:
             try:
-                raw.setsockopt(
+                raw_socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
                 )
             except OSError:
-                pass  # Closed meanwhile.
+                pass  # The socket is closed already.
         writer.close()
 
-    async def connection(self, reader, writer):
-        if self.cut:
+    async def handle_connection(self, reader, writer):
+        if self.refusing:
             return self.abort(writer)
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.to)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                *self.upstream
+            )
         except OSError:
             return self.abort(writer)
-        self.open |= {writer, far_writer}
-        # Bytes that a silent spell held up never arrive: the connection stays
-        # silent for good once one was lost.
-        lost = set()
+        self.open_writers |= {writer, upstream_writer}
+        # Bytes dropped while a direction is silenced are not sent again, so a
+        # direction of a connection that has lost bytes stays silent until its end.
+        stalled = set()
         await asyncio.gather(
-            self.pump(reader, far_writer, "in", lost),
-            self.pump(far_reader, writer, "out", lost),
+            self.forward(reader, upstream_writer, "in", stalled),
+            self.forward(upstream_reader, writer, "out", stalled),
         )
-        self.open -= {writer, far_writer}
+        self.open_writers -= {writer, upstream_writer}
 
-    async def pump(self, reader, writer, direction, lost):
+    async def forward(self, reader, writer, direction, stalled):
         try:
             while True:
                 data = await reader.read(65536)
@@ -64,12 +68,12 @@
                     break
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                if direction in self.silent:
-                    lost.add(direction)
-                if direction in lost:
+                if direction in self.silent_directions:
+                    stalled.add(direction)
+                if direction in stalled:
                     continue
                 writer.write(data)
                 await writer.drain()
         except ConnectionError:
-            pass  # The other side has gone; its end is passed on.
+            pass  # One side closed the connection; the other is closed below.
         writer.close()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Fault soak of the platform's daemons: real processes, faults from outside.
+"""Fault soak of the platform's daemons: real processes, faults injected from outside.
 
-Each seed is an episode: the fleet starts, serves under faults that overlap,
-is healed, and has to serve everything again. What callers and targets saw is
-checked all along. Processes are ended by their ids.
+Each seed is one episode: the fleet starts, serves requests during overlapping
+faults, and has to serve everything again after their end. An oracle checks what
+callers and targets observe throughout. Processes are ended by their ids.
 """
 
 import argparse
@@ -15,36 +15,37 @@
 
 from fleet import Fleet
 
-# Far above every bound of the platform: not a measure of speed.
-SERVED_AGAIN_LIMIT = 45
+# Seconds until everything has to be served again. Far above every bound of the
+# platform, so that only lasting failures count.
+SERVED_LIMIT_S = 45
 
 
-async def episode(program, seed, seconds, net):
+async def run_episode(program, seed, seconds, net):
     folder = tempfile.mkdtemp(prefix=f"soak-{seed}-")
     fleet = Fleet(program, seed, folder, net)
     await fleet.start()
-    await fleet.served_again(SERVED_AGAIN_LIMIT)
+    await fleet.wait_until_served(SERVED_LIMIT_S)
     traffic = [
-        asyncio.create_task(fleet.callers(rate=120)),
-        asyncio.create_task(fleet.probe_versions()),
+        asyncio.create_task(fleet.generate_load(rate=120)),
+        asyncio.create_task(fleet.check_route_versions()),
     ]
     loop, faults, busy = asyncio.get_running_loop(), [], set()
-    began, drawn = loop.time(), 0
-    while loop.time() - began < seconds and not fleet.judge.violations:
-        (name, fault, arguments), daemon, pause = fleet.draw_fault(drawn)
-        drawn += 1
-        # A process gets one signal at a time; all else overlaps.
-        owns = name.split()[0] in ("pause", "kill", "term", "crash", "retire")
-        if not (owns and daemon.name in busy):
-            print(f"  {loop.time() - began:6.2f} {name}", flush=True)
+    started, fault_index = loop.time(), 0
+    while loop.time() - started < seconds and not fleet.oracle.violations:
+        (name, fault, arguments), daemon, pause = fleet.draw_fault(fault_index)
+        fault_index += 1
+        # Only one fault at a time acts on a process; other faults overlap.
+        exclusive = name.split()[0] in ("pause", "kill", "term", "crash", "retire")
+        if not (exclusive and daemon.name in busy):
+            print(f"  {loop.time() - started:6.2f} {name}", flush=True)
             task = asyncio.create_task(fault(*arguments))
             faults.append(task)
-            if owns:
+            if exclusive:
                 busy.add(daemon.name)
                 task.add_done_callback(lambda _, n=daemon.name: busy.discard(n))
         await asyncio.sleep(pause)
     await asyncio.gather(*faults)
-    await fleet.served_again(SERVED_AGAIN_LIMIT)
+    await fleet.wait_until_served(SERVED_LIMIT_S)
     for task in traffic:
         task.cancel()
     await fleet.end()
@@ -52,28 +53,30 @@
 
 
 def main():
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("program", help="the daemon's program")
-    words.add_argument("--seed", type=int, default=1, help="first seed")
-    words.add_argument("--episodes", type=int, default=1)
-    words.add_argument("--seconds", type=float, default=10, help="of faults")
-    words.add_argument("--net", type=int, default=1, help="second byte of 127.x.y.1")
-    given = words.parse_args()
-    red = []
-    for seed in range(given.seed, given.seed + given.episodes):
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("program", help="path of the daemon's executable")
+    parser.add_argument("--seed", type=int, default=1, help="first seed")
+    parser.add_argument("--episodes", type=int, default=1)
+    parser.add_argument("--seconds", type=float, default=10, help="of faults in an episode")
+    parser.add_argument("--net", type=int, default=1, help="second byte of 127.x.y.1")
+    options = parser.parse_args()
+    failed_seeds = []
+    for seed in range(options.seed, options.seed + options.episodes):
         print(f"seed {seed}", flush=True)
         fleet, folder = asyncio.run(
-            episode(os.path.abspath(given.program), seed, given.seconds, given.net)
+            run_episode(
+                os.path.abspath(options.program), seed, options.seconds, options.net
+            )
         )
-        print(f"  {dict(sorted(fleet.judge.counts.items()))}")
-        if fleet.judge.violations:
-            red.append(seed)
+        print(f"  {dict(sorted(fleet.oracle.counts.items()))}")
+        if fleet.oracle.violations:
+            failed_seeds.append(seed)
             print("  VIOLATION, logs in", os.path.basename(folder))
-            print("    " + "\n    ".join(fleet.judge.violations))
+            print("    " + "\n    ".join(fleet.oracle.violations))
         else:
             shutil.rmtree(folder)
-    print(f"{given.episodes} episodes, red: {red or 'none'}")
-    return 1 if red else 0
+    print(f"{options.episodes} episodes, failed seeds: {failed_seeds or 'none'}")
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, with its faults."""
+"""In-memory implementation of the platform's store, with fault injection."""
 
 import asyncio
 import base64
@@ -13,23 +13,25 @@
 
 
 class Store:
+    """Versioned rows with conditional transactions and a feed of changes."""
+
     def __init__(self, seed):
         self.rows = {}  # (table, key) -> (version, value or None)
         self.version = 0
         self.random = random.Random(seed)
         self.changed = asyncio.Condition()
-        self.dropped_before = 0
-        # Faults, all set by the fleet.
-        self.down = None  # "refuse", "silent" or None
-        self.lost_answers = 0.0  # part of the answers to writes
-        self.delay = 0.0
+        self.compacted_to = 0
+        # Faults, set by the fleet.
+        self.outage = None  # "refuse", "silent" or None
+        self.lost_answer_share = 0.0  # share of the answers to writes that are lost
+        self.delay = 0.0  # of each answer, in seconds
 
     async def start(self, host):
         self.server = await web.serve(host, 0, self.handle)
         return self.server.sockets[0].getsockname()[1]
 
     async def put(self, table, key, value):
-        """A write of the operator; acknowledged at once."""
+        """Writes a row for the operator, or removes it if the value is None."""
         text = json.dumps(value).encode() if value is not None else None
         self.version += 1
         self.rows[table, key] = (
@@ -40,12 +42,13 @@
             self.changed.notify_all()
 
     def compact(self):
-        self.dropped_before = self.version
+        """Drops the history: feeds from an older version are answered 410."""
+        self.compacted_to = self.version
 
     async def handle(self, method, target, headers, body):
-        if self.down == "refuse":
+        if self.outage == "refuse":
             return 503, {}, b""
-        if self.down == "silent":
+        if self.outage == "silent":
             await asyncio.sleep(3600)
         await asyncio.sleep(self.delay)
         parts = urlsplit(target)
@@ -56,7 +59,7 @@
             return await self.feed(query)
         if parts.path == "/v1/rows-tx":
             reply = self.transact(json.loads(body))
-            if self.random.random() < self.lost_answers:
+            if self.random.random() < self.lost_answer_share:
                 return None
             async with self.changed:
                 self.changed.notify_all()
@@ -69,6 +72,7 @@
         return status, {"Content-Type": "application/json"}, json.dumps(text).encode()
 
     def row(self, table, key):
+        """Returns a row as it is sent; a missing row is marked as removed."""
         version, value = self.rows.get((table, key), (0, None))
         entry = {"Table": table, "part": "", "Key": key, "Ver": version}
         if value is None:
@@ -82,37 +86,39 @@
         return [self.row(table, k) for k in keys if self.rows[table, k][1] is not None]
 
     async def feed(self, query):
+        """Waits for rows newer than a version, up to WaitMs."""
         after, table = int(query["after"]), query["Table"]
         until = time.monotonic() + int(query["WaitMs"]) / 1000
         while True:
-            if after < self.dropped_before:
+            if after < self.compacted_to:
                 return 410, {}, b""
             rows = [
                 (version, key)
                 for (t, key), (version, _) in self.rows.items()
                 if t == table and version > after
             ]
-            left = until - time.monotonic()
-            if rows or left <= 0:
+            remaining = until - time.monotonic()
+            if rows or remaining <= 0:
                 return self.answer([self.row(table, k) for _, k in sorted(rows)])
             async with self.changed:
                 try:
-                    await asyncio.wait_for(self.changed.wait(), left)
+                    await asyncio.wait_for(self.changed.wait(), remaining)
                 except asyncio.TimeoutError:
                     pass
 
-    def transact(self, call):
-        expected = call.get("Expected", [])
+    def transact(self, request):
+        """Applies the writes if all expected versions match, else answers 412."""
+        expected = request.get("Expected", [])
         for entry in expected:
             version, value = self.rows.get((entry["Table"], entry["Key"]), (0, None))
             if (version if value is not None else 0) != entry["Ver"]:
                 found = [self.row(e["Table"], e["Key"]) for e in expected]
                 return self.answer([r for r in found if "Value" in r], 412)
-        writes = call.get("Writes", [])
-        if writes or call.get("Remove"):
+        writes = request.get("Writes", [])
+        if writes or request.get("Remove"):
             self.version += 1
         for entry in writes:
             self.rows[entry["Table"], entry["Key"]] = (self.version, entry["Value"])
-        for entry in call.get("Remove", []):
+        for entry in request.get("Remove", []):
             self.rows[entry["Table"], entry["Key"]] = (self.version, None)
         return self.answer([])
--- a/tests/soak/target.py
+++ b/tests/soak/target.py
@@ -1,30 +1,31 @@
-"""Application servers beside the daemons: they run requests and hold keys."""
+"""Application servers behind the daemons: they execute requests and hold keys."""
 
 import asyncio
 import json
 import time
 
 import web
-from judge import answer_body
+from oracle import answer_body
 
-HEARTBEAT = 0.3
+HEARTBEAT_S = 0.3
+# Reported to the daemon; more than three times as many requests are refused.
 SLOTS = 4
 
 
 class Target:
-    """One place for a server: its incarnations follow each other there."""
+    """An application server; each start is a new incarnation of it."""
 
     def __init__(self, fleet, name, service, keyed, host):
         self.fleet, self.name, self.service, self.keyed = fleet, name, service, keyed
         self.host, self.port = host, None
-        self.births = 0
+        self.start_count = 0
         self.incarnation = None
         self.tasks = []
 
     async def start(self):
-        self.births += 1
+        self.start_count += 1
         self.incarnation = f"t-{self.name}-{self.births}"
-        self.born = int(time.time() * 1000)
+        self.started_at_ms = int(time.time() * 1000)
         self.sequence = 0
         self.held = {}  # (first, last) -> (fence, end)
         self.running = {}  # request id -> key or None
@@ -32,26 +33,31 @@
         self.draining = False
         self.server = await web.serve(self.host, self.port or 0, self.handle)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.tasks = [asyncio.create_task(self.beat_forever())]
+        self.tasks = [asyncio.create_task(self.send_heartbeats())]
 
     async def crash(self):
-        """Ends at once; whatever it ran is lost."""
-        self.fleet.judge.ended(self.incarnation)
+        """Ends the incarnation at once; the requests in progress are lost."""
+        self.fleet.oracle.record_end(self.incarnation)
         self.incarnation = None
         for task in self.tasks:
             task.cancel()
         self.server.close()
 
     def lease_ends(self):
+        """Returns the end of each held range: {(first, last): end}.
+
+        A range with a request in progress counts as held for another second.
+        """
         now = time.monotonic()
         busy = [key for key in self.running.values() if key is not None]
         result = {}
         for (first, last), (_, end) in self.held.items():
-            works = any(first <= key <= last for key in busy)
-            result[first, last] = now + 1 if works else end
+            in_use = any(first <= key <= last for key in busy)
+            result[first, last] = now + 1 if in_use else end
         return result
 
     def fence_of(self, key):
+        """Returns the fence of a key, or None if the key isn't held now."""
         now = time.monotonic()
         for (first, last), (fence, end) in self.held.items():
             if first <= key <= last and now < end:
@@ -59,48 +65,49 @@
         return None
 
     async def handle(self, method, path, headers, body):
-        request, me = headers.get("x-request-id"), self.incarnation
-        if me is None:
+        request, incarnation = headers.get("x-request-id"), self.incarnation
+        if incarnation is None:
             return None
         fields = {"X-Request-Id": request, "X-Server-Load": f"{len(self.running)},0,4"}
-        not_run = dict(fields) | {"X-Not-Executed": "1"}
+        not_executed = dict(fields) | {"X-Not-Executed": "1"}
         if request is None:
             return 400, {"X-Not-Executed": "1"}, b""
-        if headers.get("x-target-instance") not in (None, me):
-            return 421, not_run, b""
+        if headers.get("x-target-instance") not in (None, incarnation):
+            return 421, not_executed, b""
         key = None
         if self.keyed:
             key = int(headers["x-shard-key"])
             if self.fence_of(key) is None:
-                self.fleet.judge.count("came to a target that doesn't hold the key")
-                return 421, not_run, b""
+                self.fleet.oracle.count("reached a target that doesn't hold the key")
+                return 421, not_executed, b""
         if len(self.running) >= 3 * SLOTS:
-            return 503, not_run, b""
-        random = self.fleet.random
+            return 503, not_executed, b""
+        rng = self.fleet.random
         self.running[request] = key
-        self.fleet.judge.ran(request, me)
+        self.fleet.oracle.record_run(request, incarnation)
         try:
-            await asyncio.sleep(random.choice((0.002, 0.01, 0.04, 0.15)))
+            await asyncio.sleep(rng.choice((0.002, 0.01, 0.04, 0.15)))
         finally:
             self.running.pop(request, None)
-        if self.incarnation != me:
+        if self.incarnation != incarnation:
             return None
-        ending = random.random()
-        if ending < self.fleet.broken_answers:
+        outcome = rng.random()
+        if outcome < self.fleet.broken_answer_share:
             return None
-        if ending < 2 * self.fleet.broken_answers:
-            return 500, fields | {"X-Server-Signature": f"{me}/0"}, b""
-        length = random.choice((64, 500, 30000))
-        fields["X-Server-Signature"] = f"{me}/{length}"
-        return 200, fields, answer_body(me, request, length)
+        if outcome < 2 * self.fleet.broken_answer_share:
+            return 500, fields | {"X-Server-Signature": f"{incarnation}/0"}, b""
+        length = rng.choice((64, 500, 30000))
+        fields["X-Server-Signature"] = f"{incarnation}/{length}"
+        return 200, fields, answer_body(incarnation, request, length)
 
-    async def beat_forever(self):
+    async def send_heartbeats(self):
         while True:
-            soon = await self.beat()
-            await asyncio.sleep(0.05 if soon else HEARTBEAT)
+            send_soon = await self.send_heartbeat()
+            await asyncio.sleep(0.05 if send_soon else HEARTBEAT_S)
 
-    async def beat(self):
-        me, sent = self.incarnation, time.monotonic()
+    async def send_heartbeat(self):
+        """Sends a heartbeat; returns whether the next one should follow soon."""
+        incarnation, sent = self.incarnation, time.monotonic()
         self.sequence += 1
         body = {
             "Service": self.service,
@@ -111,69 +118,71 @@
             "State": "draining" if self.draining else "ready",
             "ColdRemainingS": 0,
             "Sequence": self.sequence,
-            "born": self.born,
+            "born": self.started_at_ms,
         }
         if self.keyed:
             body["Holds"] = [[f, l, fence] for (f, l), (fence, _) in self.held.items()]
             body["Released"] = list(self.released)
-        told = len(self.released)
+        reported = len(self.released)
         host, port = self.fleet.control(self.name)
         try:
             status, _, text = await web.call(
                 host,
                 port,
                 "POST",
-                f"/v1/rpc?call=instances.heartbeat&of={me}",
+                f"/v1/rpc?call=instances.heartbeat&of={incarnation}",
                 {"Content-Type": "application/json"},
                 json.dumps(body).encode(),
                 timeout=1.0,
             )
-        except (OSError, web.Broken, asyncio.TimeoutError):
+        except (OSError, web.IncompleteMessage, asyncio.TimeoutError):
             return self.drop_expired()
-        if status != 200 or self.incarnation != me:
+        if status != 200 or self.incarnation != incarnation:
             return self.drop_expired()
         if len(text) > 4096:
-            self.fleet.judge.fail(f"answer of {len(text)} bytes to a heartbeat")
-        del self.released[:told]
+            self.fleet.oracle.fail(f"answer to a heartbeat has {len(text)} bytes")
+        del self.released[:reported]
         reply = json.loads(text)
         if "Holds" in reply:
-            self.take(reply["Holds"], sent + reply["HoldS"])
+            self.apply_grants(reply["Holds"], sent + reply["HoldS"])
         return bool(self.released) or self.drop_expired()
 
-    def take(self, grants, until):
-        """Takes the granted rows; releases what they leave out, once idle."""
-        judge, me, now = self.fleet.judge, self.incarnation, time.monotonic()
-        wanted = {(f, l): (fence, until) for f, l, fence, _ in grants}
+    def apply_grants(self, grants, until):
+        """Holds the granted ranges; releases all others once they are idle."""
+        oracle, incarnation, now = self.fleet.oracle, self.incarnation, time.monotonic()
+        granted = {(f, l): (fence, until) for f, l, fence, _ in grants}
         busy = [key for key in self.running.values() if key is not None]
         kept = {}
         for (first, last), (fence, end) in self.held.items():
-            for f, l in without(first, last, wanted):
+            for f, l in subtract_ranges(first, last, granted):
                 if end <= now:
                     continue
                 if any(f <= key <= l for key in busy):
                     kept[f, l] = (fence, end)
                 else:
-                    self.released.append([f, l, f"h-{me}-{f}-{l}"])
-        self.held = wanted | kept
-        judge.granted(me, [(f, l, fence) for (f, l), (fence, _) in wanted.items()])
-        judge.holds(me, self.lease_ends())
+                    self.released.append([f, l, f"h-{incarnation}-{f}-{l}"])
+        self.held = granted | kept
+        oracle.record_grant(
+            incarnation, [(f, l, fence) for (f, l), (fence, _) in granted.items()]
+        )
+        oracle.record_holds(incarnation, self.lease_ends())
 
     def drop_expired(self):
         now = time.monotonic()
         self.held = {s: h for s, h in self.held.items() if h[1] > now}
-        self.fleet.judge.holds(self.incarnation, self.lease_ends())
+        self.fleet.oracle.record_holds(self.incarnation, self.lease_ends())
         return False
 
 
-def without(first, last, spans):
-    """What is left of [first, last] without the spans."""
-    pieces = []
-    for f, l in sorted(spans):
+def subtract_ranges(first, last, ranges):
+    """Returns the parts of [first, last] outside of the ranges."""
+    remaining = []
+    for f, l in sorted(ranges):
         if l < first or f > last:
             continue
         if f > first:
-            pieces.append((first, f - 1))
+            remaining.append((first, f - 1))
         first = l + 1
     if first <= last:
-        pieces.append((first, last))
-    return pieces
+        remaining.append((first, last))
+    return remaining
--- a/tests/soak/web.py
+++ b/tests/soak/web.py
@@ -1,14 +1,14 @@
-"""Small HTTP/1.1 server and client for the soak's stand-ins."""
+"""Minimal HTTP/1.1 server and client for the store, targets and callers."""
 
 import asyncio
 
 
-class Broken(Exception):
+class IncompleteMessage(Exception):
     """The connection ended before the message did."""
 
 
 async def read_message(reader):
-    """Returns (first line, headers, body), or None at the end of the input."""
+    """Reads a message: (first line, headers, body), or None at the end of input."""
     line = await reader.readline()
     if not line:
         return None
@@ -16,7 +16,7 @@
     while True:
         field = await reader.readline()
         if not field:
-            raise Broken("end within the headers")
+            raise IncompleteMessage("connection closed within the headers")
         if field == b"\r\n":
             break
         name, _, value = field.decode("latin-1").partition(":")
@@ -41,12 +41,13 @@
 
 
 async def serve(host, port, handle):
-    """Serves handle(method, path, headers, body) -> (status, headers, body).
+    """Serves requests by handle(method, path, headers, body).
 
-    None as an answer closes the connection without one.
+    The handler returns (status, headers, body), or None to close the connection
+    without an answer.
     """
 
-    async def connection(reader, writer):
+    async def handle_connection(reader, writer):
         try:
             while True:
                 message = await read_message(reader)
@@ -60,21 +61,24 @@
                 status, fields, text = reply
                 writer.write(encode(f"HTTP/1.1 {status} X", fields, text))
                 await writer.drain()
-        except (Broken, ConnectionError, asyncio.IncompleteReadError, ValueError):
+        except (
+                IncompleteMessage, ConnectionError, asyncio.IncompleteReadError, ValueError
+            ):
             return
         except asyncio.CancelledError:
-            return  # The episode ends.
+            return  # The episode has ended.
         finally:
             writer.close()
 
-    return await asyncio.start_server(connection, host, port)
+    return await asyncio.start_server(handle_connection, host, port)
 
 
 async def call(host, port, method, path, headers, body=b"", timeout=5.0):
-    """One request on a connection of its own: (status, headers, body).
+    """Sends one request on a new connection: (status, headers, body).
 
-    Raises OSError when no connection was made, Broken when the answer doesn't
-    come whole, asyncio.TimeoutError when it doesn't come in time.
+    Raises OSError if the connection fails, IncompleteMessage if the answer is
+    incomplete, asyncio.TimeoutError if it takes longer than the time-out in
+    seconds.
     """
 
     async def exchange():
@@ -84,11 +88,11 @@
             await writer.drain()
             message = await read_message(reader)
             if message is None:
-                raise Broken("no answer")
+                raise IncompleteMessage("connection closed without an answer")
             line, fields, text = message
             return int(line.split(" ")[1]), fields, text
         except (ConnectionError, asyncio.IncompleteReadError, ValueError) as error:
-            raise Broken(str(error)) from error
+            raise IncompleteMessage(str(error)) from error
         finally:
             writer.close()
 
