--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -60,7 +60,7 @@
             "Limits": {"MaxFds": 1000},
             "HeartbeatS": HEARTBEAT_S,
             "Bounds": ["GraceS=6", "DrainS=2.5", "MaxHoldS=10", "EvacuationS=5"],
-            "Platform": {"Address": f"127.0.0.1:{self.to_store.port}"},
+            "Platform": {"Address": f"127.0.0.1:{self.store_proxy.port}"},
         }
         with open(self.path, "w", encoding="utf-8") as file:
             json.dump(settings, file)
@@ -72,7 +72,7 @@
             "--settings",
             self.path,
             "--advertise",
-            f"127.0.0.1:{self.to_peers.port}",
+            f"127.0.0.1:{self.peer_proxy.port}",
             stdout=log,
             stderr=log,
         )
@@ -82,8 +82,8 @@
     def alive(self):
         return self.process is not None and self.process.returncode is None
 
+    # Sends a signal to the process, if it runs.
     def send(self, number):
-        """Sends a signal to the process, if it runs."""
         if self.alive():
             self.process.send_signal(number)
 
@@ -104,9 +104,8 @@
             self.fleet.oracle.fail(f"{self.name} exited with code {code} after SIGTERM")
 
 
+# All daemons of an episode, their store, callers and faults.
 class Fleet:
-    """All daemons of an episode, their store, callers and faults."""
-
     def __init__(self, program, seed, folder, net):
         self.program, self.folder, self.net = program, folder, net
         self.seed, self.random = seed, random.Random(seed)
@@ -170,11 +169,10 @@
 
     # Load.
 
+    # Sends a request and checks its answer.
+    #
+    # Returns the status, or None when no answer came.
     async def request(self, daemon, kind, key=None, timeout=3.5):
-        """Sends a request and checks its answer.
-
-        Returns the status, or None when no answer came.
-        """
         number = self.random.getrandbits(64)
         request = f"{number:016x}"
         unsafe = kind in ("write", "keywrite")
@@ -224,7 +222,7 @@
                     continue
                 known = daemon.highest_seen_version
                 requested = known if known > 1 and self.random.random() < 0.5 else version
-                status = await self.request(daemon, f"v{asked}", timeout=1.0)
+                status = await self.request(daemon, f"v{requested}", timeout=1.0)
                 if daemon.process is not process:
                     continue
                 if status == 200:
@@ -269,20 +267,20 @@
         await asyncio.sleep(3.5)
         await self.restart_target(daemon, rng)
 
+    # The store refuses all requests ("refuse") or never answers ("silent").
     async def interrupt_store(self, mode, rng):
-        """The store refuses all requests ("refuse") or never answers ("silent")."""
         self.store.outage = mode
         await asyncio.sleep(rng.choice((0.5, 3.0, 7.0)))
         self.store.outage = None
 
+    # The store is slow and loses a share of the answers to writes.
     async def degrade_store(self, rng):
-        """The store is slow and loses a share of the answers to writes."""
         self.store.lost_answer_share, self.store.delay = 0.3, 0.1
         await asyncio.sleep(rng.uniform(1, 5))
         self.store.lost_answer_share, self.store.delay = 0.0, 0.0
 
+    # Resets, refuses, delays or silences the connections of a proxy.
     async def degrade_proxy(self, proxy, mode, rng):
-        """Resets, refuses, delays or silences the connections of a proxy."""
         if mode == "reset":
             return proxy.reset()
         if mode == "cut":
@@ -295,8 +293,8 @@
         await asyncio.sleep(rng.choice((0.5, 2.0, 6.0)))
         proxy.restore()
 
+    # Targets fail a share of the answers: none at all, or an error.
     async def break_answers(self, rng):
-        """Targets fail a share of the answers: none at all, or an error."""
         self.broken_answer_share = 0.1
         await asyncio.sleep(3)
         self.broken_answer_share = 0.0
@@ -334,8 +332,8 @@
         name, fault, arguments = rng.choice(faults)
         return (name, fault, arguments + (rng,)), daemon, rng.expovariate(1.2)
 
+    # The store drops the history that its watches read from.
     async def compact_store(self, rng):
-        """The store drops the history that its watches read from."""
         self.store.compact()
 
     # Recovery.
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -6,9 +6,8 @@
 REFUSAL_STATUSES = (408, 421, 429, 503)
 
 
+# Collects violations, and counts of the answers by kind.
 class Oracle:
-    """Collects violations, and counts of the answers by kind."""
-
     def __init__(self):
         self.violations = []
         self.runs = {}  # request id -> incarnations that executed it
@@ -26,8 +25,8 @@
     def count(self, what):
         self.counts[what] = self.counts.get(what, 0) + 1
 
+    # Records that a target starts to execute a request.
     def record_run(self, request, incarnation):
-        """Records that a target starts to execute a request."""
         runs = self.runs.setdefault(request, [])
         runs.append(incarnation)
         if request in self.unsafe and len(runs) > 1:
@@ -35,8 +34,8 @@
         if request in self.refused:
             self.fail(f"{request} was executed after it was answered as not executed")
 
+    # Checks an answer against the recorded executions.
     def check_answer(self, request, unsafe, status, headers, body):
-        """Checks an answer against the recorded executions."""
         self.count(f"{status}")
         if status in REFUSAL_STATUSES:
             if unsafe:
@@ -89,7 +88,7 @@
                 for granted_first, granted_last, _ in ranges:
                     if granted_first <= last and first <= granted_last:
                         return self.fail(
-                            f"keys {max(first, mine_first)} to {min(last, mine_last)} "
+                            f"keys {max(first, granted_first)} to {min(last, granted_last)} "
                             f"held by both {incarnation} and {other}"
                         )
 
@@ -97,8 +96,8 @@
         """Records all ranges that a target holds or executes: {(first, last): end}."""
         self.holders[incarnation] = dict(ranges)
 
+    # Records the end of an incarnation, and with it of its leases.
     def record_end(self, incarnation):
-        """Records the end of an incarnation, and with it of its leases."""
         self.holders.pop(incarnation, None)
 
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -5,9 +5,8 @@
 import struct
 
 
+# Forwards connections to one address; the fleet sets its faults.
 class Proxy:
-    """Forwards connections to one address; the fleet sets its faults."""
-
     def __init__(self, host, port):
         self.upstream = (host, port)
         self.refusing = False  # new connections are reset; reset() ends the open ones
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -12,9 +12,8 @@
 HISTORY = 400
 
 
+# Versioned rows with conditional transactions and a feed of changes.
 class Store:
-    """Versioned rows with conditional transactions and a feed of changes."""
-
     def __init__(self, seed):
         self.rows = {}  # (table, key) -> (version, value or None)
         self.version = 0
@@ -41,8 +40,8 @@
         async with self.changed:
             self.changed.notify_all()
 
+    # Drops the history: feeds from an older version are answered 410.
     def compact(self):
-        """Drops the history: feeds from an older version are answered 410."""
         self.compacted_to = self.version
 
     async def handle(self, method, target, headers, body):
@@ -71,8 +70,8 @@
         text["HasMore"] = False
         return status, {"Content-Type": "application/json"}, json.dumps(text).encode()
 
+    # Returns a row as it is sent; a missing row is marked as removed.
     def row(self, table, key):
-        """Returns a row as it is sent; a missing row is marked as removed."""
         version, value = self.rows.get((table, key), (0, None))
         entry = {"Table": table, "part": "", "Key": key, "Ver": version}
         if value is None:
@@ -85,8 +84,8 @@
         keys = sorted(k for t, k in self.rows if t == table and k >= first)
         return [self.row(table, k) for k in keys if self.rows[table, k][1] is not None]
 
+    # Waits for rows newer than a version, up to WaitMs.
     async def feed(self, query):
-        """Waits for rows newer than a version, up to WaitMs."""
         after, table = int(query["after"]), query["Table"]
         until = time.monotonic() + int(query["WaitMs"]) / 1000
         while True:
@@ -106,8 +105,8 @@
                 except asyncio.TimeoutError:
                     pass
 
+    # Applies the writes if all expected versions match, else answers 412.
     def transact(self, request):
-        """Applies the writes if all expected versions match, else answers 412."""
         expected = request.get("Expected", [])
         for entry in expected:
             version, value = self.rows.get((entry["Table"], entry["Key"]), (0, None))
--- a/tests/soak/target.py
+++ b/tests/soak/target.py
@@ -24,7 +24,7 @@
 
     async def start(self):
         self.start_count += 1
-        self.incarnation = f"t-{self.name}-{self.births}"
+        self.incarnation = f"t-{self.name}-{self.start_count}"
         self.started_at_ms = int(time.time() * 1000)
         self.sequence = 0
         self.held = {}  # (first, last) -> (fence, end)
@@ -43,11 +43,10 @@
             task.cancel()
         self.server.close()
 
+    # Returns the end of each held range: {(first, last): end}.
+    #
+    # A range with a request in progress counts as held for another second.
     def lease_ends(self):
-        """Returns the end of each held range: {(first, last): end}.
-
-        A range with a request in progress counts as held for another second.
-        """
         now = time.monotonic()
         busy = [key for key in self.running.values() if key is not None]
         result = {}
@@ -56,8 +55,8 @@
             result[first, last] = now + 1 if in_use else end
         return result
 
+    # Returns the fence of a key, or None if the key isn't held now.
     def fence_of(self, key):
-        """Returns the fence of a key, or None if the key isn't held now."""
         now = time.monotonic()
         for (first, last), (fence, end) in self.held.items():
             if first <= key <= last and now < end:
@@ -105,8 +104,8 @@
             send_soon = await self.send_heartbeat()
             await asyncio.sleep(0.05 if send_soon else HEARTBEAT_S)
 
+    # Sends a heartbeat; returns whether the next one should follow soon.
     async def send_heartbeat(self):
-        """Sends a heartbeat; returns whether the next one should follow soon."""
         incarnation, sent = self.incarnation, time.monotonic()
         self.sequence += 1
         body = {
