--- a/cmake/FindACE.cmake
+++ b/cmake/FindACE.cmake
@@ -1,5 +1,5 @@
-# Locates the ACE library, which ships no CMake package of its own.
-# Defines the imported target ACE::ACE.
+# Finds the ACE library, which provides no CMake package, and defines the imported
+# target ACE::ACE.
 find_path(ACE_INCLUDE_DIR ace/ACE.h)
 find_library(ACE_LIBRARY ACE)
 include(FindPackageHandleStandardArgs)
--- a/cmake/Install.cmake
+++ b/cmake/Install.cmake
@@ -1,4 +1,4 @@
-# Installs the coordination library as a CMake package.
+# Installs the coordination library and its headers as a CMake package.
 include(CMakePackageConfigHelpers)
 set(PACKAGE_DIR ${CMAKE_INSTALL_LIBDIR}/cmake/balsamwheel)
 install(TARGETS balsamwheel_coordination EXPORT balsamwheelTargets
--- a/cmake/Packages.cmake
+++ b/cmake/Packages.cmake
@@ -1,5 +1,5 @@
-# External libraries, all from Debian's packages.
-# Needed by every build.
+# External libraries; Debian has a package of each.
+# Required by every build:
 find_package(Threads REQUIRED)
 find_package(ACE REQUIRED)
 find_package(nlohmann_json REQUIRED)
@@ -9,7 +9,7 @@
 find_package(PkgConfig REQUIRED)
 pkg_check_modules(XXHASH REQUIRED IMPORTED_TARGET libxxhash)
 
-# Needed by the stand-alone daemon, the bench and the tests.
+# Required by the stand-alone daemon, the benchmarks and the tests:
 if(NOT BALSAMWHEEL_DEPLOY)
   find_package(yaml-cpp REQUIRED)
   find_package(CURL REQUIRED)
--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Builds everything: scripts/build.sh [BUILD_DIR [CMAKE_OPTION...]]
+# Configures and builds everything:
+# scripts/build.sh [BUILD_DIR [CMAKE_OPTION...]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${1:-build}
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures coordination at growing sizes: scripts/capacity.sh [SIZE...]
-# Writes one JSON file a size to docs/reports/.
+# Measures the resource usage of coordination at several numbers of nodes:
+# scripts/capacity.sh [SIZE...]. Writes one JSON file per size to docs/reports/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/build.sh build
--- a/scripts/check-package.sh
+++ b/scripts/check-package.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs the coordination library into a folder of the build and runs the
-# example that embeds it.
+# Installs the coordination library below the build folder, then builds and runs
+# the example that embeds it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 STAGE=$PWD/build/stage
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs, builds and shows the main job: scripts/demo.sh [valpadana|etna-verde]
+# Installs the required packages, builds, and runs the experiment "demo":
+# scripts/demo.sh [valpadana|etna-verde]. SEED sets the seed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install-packages.sh
--- a/scripts/fuzz-decoders.sh
+++ b/scripts/fuzz-decoders.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Fuzzes the decoders of outside input: scripts/fuzz-decoders.sh [RUNS [SEED]]
-# Needs clang-19 and libclang-rt-19-dev, which it installs.
+# Fuzzes the decoders of network input with libFuzzer:
+# scripts/fuzz-decoders.sh [RUNS [SEED]], with RUNS inputs for each decoder.
+# Installs clang-19 and libclang-rt-19-dev if they are missing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 RUNS=${1:-200000}
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Soaks several nodes under random faults: scripts/fuzz.sh SEED STEPS
-# Seeds count up from SEED, one for each 150 steps; a violation prints the
-# command that repeats it. JOBS > 1 splits the steps over as many processes.
+# Soak test of several nodes under random faults: scripts/fuzz.sh SEED STEPS
+# Uses consecutive seeds from SEED on, one per 150 steps. For a violation it
+# prints the command that reproduces it. JOBS > 1 splits the steps over that many
+# processes, whose first seeds are 1000000 apart.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 SEED=${1:?usage: scripts/fuzz.sh SEED STEPS}
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Regenerates the committed FlatBuffers code (needs flatbuffers-compiler).
+# Regenerates the committed FlatBuffers headers; requires flatbuffers-compiler.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 flatc --cpp --scoped-enums -o src/adapters/peer_tcp schema/peer.fbs
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that building and testing need.
+# Installs the Debian packages required to build and test, if any are missing.
 set -euo pipefail
 PACKAGES=(
   g++ cmake ninja-build make ccache git pkg-config
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Checks format and lint of all sources but generated ones.
+# Checks the format of all C++ files except generated ones, and runs clang-tidy on
+# all translation units except tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t SOURCES < <(git ls-files -co --exclude-standard '*.cpp' '*.h' |
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Turns off one safety rule at a time and expects the soak's oracle to notice:
+# Mutation test of the soak: disables one safety rule per build and expects the
+# oracle of the soak to report a violation within STEPS steps:
 # scripts/mutants.sh [STEPS]. Prints "N of N caught".
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/report.py
+++ b/scripts/report.py
@@ -1,4 +1,7 @@
-"""Writes docs/reports/REPORT.md with one SVG plot for each scenario."""
+"""Writes REPORT.md from JSON results, with one SVG plot for each scenario.
+
+Arguments: the folder to write to, then the result files of balsamwheel-bench.
+"""
 
 import json
 import pathlib
@@ -44,7 +47,7 @@
 
 
 def plot(result, folder):
-    """Plots the p99 of each class, policy beside baseline."""
+    """Plots the p99 latency of each class for policy and baseline."""
     classes = sorted(
         {name for run in result["runs"] for name in run["measures"]["classes"]}
     )
--- a/scripts/report.sh
+++ b/scripts/report.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Turns results of balsamwheel-bench into a Markdown report with plots:
+# Writes a Markdown report with plots from JSON results of balsamwheel-bench:
 # scripts/report.sh RESULT.json...
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is needed, builds, and runs all tests.
+# Installs the required packages, builds, and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install-packages.sh
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -10,7 +10,7 @@
     def __init__(self, host, port):
         self.upstream = (host, port)
         self.refusing = False  # new connections are reset; reset() ends the open ones
-        self.silent_directions = set()  # directions whose bytes are dropped: "in", "out"
+        self.silent_directions = set()  # drop all bytes: "in", "out"
         self.delay = 0.0  # of each block of bytes, in seconds
         self.open_writers = set()
 
