--- a/bench/commands.cpp
+++ b/bench/commands.cpp
@@ -48,7 +48,7 @@
   Http.m_Port = (*Parsed)["port"].as<std::uint16_t>();
   const PlatformStandIn Platform(Http);
   std::cout << "platform on 127.0.0.1:" << Platform.port() << std::endl;
-  Signals.waitForEnd();
+  Signals.waitForTermination();
   return 0;
 }
 
@@ -83,14 +83,14 @@
   Target.m_Service = (*Parsed)["service"].as<std::string>();
   Target.m_Daemon = (*Parsed)["daemon"].as<std::string>();
   Target.m_Seed = (*Parsed)["seed"].as<std::uint64_t>();
-  Target.m_TimeScale = (*Parsed)["scale"].as<double>();
+  Target.m_ServiceTimeFactor = (*Parsed)["scale"].as<double>();
   Target.m_Model.m_Slots = (*Parsed)["slots"].as<std::uint32_t>();
   Target.m_Model.m_StartsCold = Parsed->count("cold") > 0;
   Target.m_Model.m_ChecksFences = Parsed->count("checks-fences") > 0;
   Target.m_Journal = (*Parsed)["journal"].as<std::string>();
   TargetStandIn StandIn(Target);
   std::cout << "target on 127.0.0.1:" << StandIn.port() << std::endl;
-  Signals.waitForEnd();
+  Signals.waitForTermination();
   return 0;
 }
 
@@ -200,7 +200,7 @@
   Options.m_LoadFactor = Parsed["load"].as<double>();
   Options.m_Programs = programFolder();
   Options.m_Manifests = Parsed["manifests"].as<std::string>();
-  Options.m_Keep = Parsed.count("keep") > 0;
+  Options.m_KeepLogs = Parsed.count("keep") > 0;
   return Options;
 }
 
@@ -224,7 +224,7 @@
   const ExperimentResult Result = runExperiment(Options, std::cout);
   printResult(Result, std::cout);
   writeJson(File, toJson(Result));
-  return Result.clean() ? 0 : 1;
+  return Result.hasNoViolations() ? 0 : 1;
 }
 
 struct Command {
--- a/bench/core/added_latency.cpp
+++ b/bench/core/added_latency.cpp
@@ -103,7 +103,7 @@
        .m_Manifest = Options.m_Manifests / (Options.m_Deployment + ".yaml"),
        .m_Policy = {},
        .m_Seed = Options.m_Seed,
-       .m_TimeScale = 0,
+       .m_ServiceTimeFactor = 0,
        .m_ColdTargets = false,
        .m_Relays = false});
   Servers.start();
--- a/bench/core/cluster.cpp
+++ b/bench/core/cluster.cpp
@@ -151,7 +151,7 @@
       "--seed",
       std::to_string(m_Options.m_Seed * 100 + Index),
       "--scale",
-      std::to_string(m_Options.m_TimeScale),
+      std::to_string(m_Options.m_ServiceTimeFactor),
       "--journal",
       Host.m_Folder / "journal.jsonl"};
   if (Cold)
--- a/bench/core/cluster.h
+++ b/bench/core/cluster.h
@@ -27,7 +27,7 @@
   PolicySettings m_Policy;
   std::uint64_t m_Seed = 1;
   /// Factor on the service times of all targets.
-  double m_TimeScale = 1;
+  double m_ServiceTimeFactor = 1;
   /// Starts the targets cold.
   bool m_ColdTargets = false;
   /// Connects the daemons to each other through relays, which can cut them off.
--- a/bench/core/experiment.cpp
+++ b/bench/core/experiment.cpp
@@ -106,7 +106,7 @@
       .m_Policy =
           Policy == "baseline" ? Definition.m_Baseline : PolicySettings{},
       .m_Seed = Options.m_Seed,
-      .m_TimeScale = Definition.m_TimeScale,
+      .m_ServiceTimeFactor = Definition.m_ServiceTimeFactor,
       .m_ColdTargets = Definition.m_ColdTargets,
       .m_Relays = Definition.m_Relays};
   Out << Definition.m_Name << ", " << Options.m_Deployment << ", " << Policy
@@ -139,14 +139,14 @@
   Result.m_PlatformCounters = TestRig.cluster().platformCounters();
   Result.m_Folder = TestRig.cluster().folder().string();
   sumCollapses(TestRig, Result);
-  if (Options.m_Keep || !Result.m_Violations.empty())
+  if (Options.m_KeepLogs || !Result.m_Violations.empty())
     TestRig.cluster().keepFolder();
   return Result;
 }
 
 } // namespace
 
-bool ExperimentResult::clean() const {
+bool ExperimentResult::hasNoViolations() const {
   return std::ranges::all_of(m_Runs, [](const RunResult &Each) {
     return Each.m_Policy == "baseline" || Each.m_Violations.empty();
   });
--- a/bench/core/experiment.h
+++ b/bench/core/experiment.h
@@ -24,7 +24,7 @@
   /// Folder with a manifest for each deployment.
   std::filesystem::path m_Manifests;
   /// Keeps logs and journals of runs without violations, too.
-  bool m_Keep = false;
+  bool m_KeepLogs = false;
 };
 
 /// The result of one run of a scenario.
@@ -45,7 +45,7 @@
 
   /// Returns whether no run of the policy has violations. Those of baselines
   /// don't count.
-  bool clean() const;
+  bool hasNoViolations() const;
 };
 
 /// Returns the scenario with this name, or null.
--- a/bench/core/experiment_report.cpp
+++ b/bench/core/experiment_report.cpp
@@ -166,7 +166,8 @@
     printComparison(Result, Out);
   Out << "\n"
       << Result.m_Options.m_Scenario << ", seed " << Result.m_Options.m_Seed
-      << ": " << (Result.clean() ? "no violations" : "VIOLATIONS") << std::endl;
+      << ": " << (Result.hasNoViolations() ? "no violations" : "VIOLATIONS")
+      << std::endl;
 }
 
 nlohmann::json toJson(const ExperimentResult &Result) {
--- a/bench/core/rig.h
+++ b/bench/core/rig.h
@@ -69,7 +69,7 @@
   /// Factor on the rates of the deployment's request mix.
   double m_LoadFactor = 1;
   /// Factor on the service times of the targets.
-  double m_TimeScale = 1;
+  double m_ServiceTimeFactor = 1;
   /// Starts the targets cold.
   bool m_ColdTargets = false;
   /// Connects the daemons to each other through relays.
--- a/bench/core/scenarios.cpp
+++ b/bench/core/scenarios.cpp
@@ -216,7 +216,7 @@
                          TestRig.cluster().restartTarget(Index, true);
                      }}},
                    FixedGate);
-  Cold.m_TimeScale = HeavyServiceTimeFactor;
+  Cold.m_ServiceTimeFactor = HeavyServiceTimeFactor;
   Cold.m_LoadFactor = HeavyLoadFactor;
   Result.push_back(std::move(Cold));
 
@@ -224,14 +224,14 @@
       "silent-cold", "two targets turn cold without announcing it", seconds(20),
       {targetFault(seconds(5), "targets turn cold", {0, 6}, {{"cold", true}})},
       FixedGate);
-  SilentCold.m_TimeScale = HeavyServiceTimeFactor;
+  SilentCold.m_ServiceTimeFactor = HeavyServiceTimeFactor;
   SilentCold.m_LoadFactor = HeavyLoadFactor;
   Result.push_back(std::move(SilentCold));
 
   Scenario Overload = makeScenario(
       "overload-classes", "downloads at twice the capacity", seconds(20),
       {scaleRate(seconds(6), "downloads rise", 9, true)}, FixedGate);
-  Overload.m_TimeScale = HeavyServiceTimeFactor;
+  Overload.m_ServiceTimeFactor = HeavyServiceTimeFactor;
   Result.push_back(std::move(Overload));
 
   Scenario Slowed =
@@ -275,7 +275,7 @@
                    {{"slow_factor", 20}}),
        targetFault(seconds(13), "targets recover", {0, 1, 2, 3, 4, 5},
                    {{"slow_factor", 1}})});
-  Storm.m_TimeScale = 5;
+  Storm.m_ServiceTimeFactor = 5;
   Storm.m_AdjustLoad = [](LoadPlan &Plan) { Plan.m_GiveUpAfter = seconds(3); };
   Result.push_back(std::move(Storm));
   return Result;
--- a/bench/core/signals.cpp
+++ b/bench/core/signals.cpp
@@ -22,7 +22,7 @@
   pthread_sigmask(SIG_BLOCK, &Set, nullptr);
 }
 
-void SignalWaiter::waitForEnd() const {
+void SignalWaiter::waitForTermination() const {
   const sigset_t Set = terminationSignals();
   int Signal = 0;
   sigwait(&Set, &Signal);
--- a/bench/core/signals.h
+++ b/bench/core/signals.h
@@ -9,7 +9,7 @@
 public:
   SignalWaiter();
   /// Blocks until one of the signals arrives.
-  void waitForEnd() const;
+  void waitForTermination() const;
 };
 
 } // namespace balsamwheel::bench
--- a/bench/core/target_stand_in.cpp
+++ b/bench/core/target_stand_in.cpp
@@ -144,7 +144,7 @@
   std::uniform_int_distribution<Duration::rep> Between(
       Profile.m_MinServiceTime.count(), Profile.m_MaxServiceTime.count());
   return std::chrono::duration_cast<Duration>(Duration(Between(m_Random)) *
-                                              m_Options.m_TimeScale);
+                                              m_Options.m_ServiceTimeFactor);
 }
 
 void TargetStandIn::handleOrder(const ServerRequest &Request,
--- a/bench/core/target_stand_in.h
+++ b/bench/core/target_stand_in.h
@@ -24,7 +24,7 @@
   std::string m_Daemon;
   std::uint64_t m_Seed = 1;
   /// Factor on the service times of all orders.
-  double m_TimeScale = 1;
+  double m_ServiceTimeFactor = 1;
   /// Path of the journal file; empty for no journal.
   std::string m_Journal;
   /// Age of the load value that the load endpoint reports.
--- a/src/adapters/caller_http/caller_server.cpp
+++ b/src/adapters/caller_http/caller_server.cpp
@@ -179,7 +179,7 @@
     m_Open.erase(Handle);
   }
   if (Unanswered)
-    m_Handlers.m_OnGone(Handle);
+    m_Handlers.m_OnCallerDisconnected(Handle);
 }
 
 std::shared_ptr<CallerExchange>
--- a/src/adapters/caller_http/caller_server.h
+++ b/src/adapters/caller_http/caller_server.h
@@ -34,7 +34,7 @@
   /// Accepts a request; returns false when the node's queue is full.
   std::function<bool(IncomingRequest &Request)> m_OnRequest;
   /// The caller disconnected before its answer was sent.
-  std::function<void(RequestHandle)> m_OnGone;
+  std::function<void(RequestHandle)> m_OnCallerDisconnected;
   /// Creates the pipe for the remainder of a long request body.
   std::function<runtime::BodyPipePtr(std::string_view Prefix,
                                      std::optional<std::uint64_t> Length)>
--- a/src/adapters/http_client/exchange.cpp
+++ b/src/adapters/http_client/exchange.cpp
@@ -172,7 +172,7 @@
   m_Answer.m_Status = static_cast<std::uint16_t>(Status);
   m_Answer.m_BodyLength = Length.value_or(0);
   m_Answer.m_BodyStream = m_Download->id();
-  m_Transfer.m_OnAnswering(std::exchange(m_Answer, {}));
+  m_Transfer.m_OnAnswerHead(std::exchange(m_Answer, {}));
   return true;
 }
 
--- a/src/adapters/http_client/transfer.h
+++ b/src/adapters/http_client/transfer.h
@@ -64,7 +64,7 @@
   /// If set, long answers are streamed; otherwise they are buffered completely.
   PipeFactory m_MakePipe;
   /// Called on the loop's thread when a long answer starts to stream.
-  std::function<void(HttpAnswer Head)> m_OnAnswering;
+  std::function<void(HttpAnswer Head)> m_OnAnswerHead;
   /// Called exactly once, usually on the loop's thread; see
   /// TransferLoop::submit().
   std::function<void(TransferResult Result)> m_OnEnd;
--- a/src/adapters/http_client/transfer_loop.cpp
+++ b/src/adapters/http_client/transfer_loop.cpp
@@ -95,8 +95,8 @@
         continue;
       if (m_Resumes.prepareToSleep())
         curl_multi_poll(m_Multi, nullptr, 0, MaxSleepMs, nullptr);
-      m_Commands.awake();
-      m_Resumes.awake();
+      m_Commands.finishSleep();
+      m_Resumes.finishSleep();
     }
     abortAll();
   }
--- a/src/adapters/target_http/target_link.cpp
+++ b/src/adapters/target_http/target_link.cpp
@@ -108,7 +108,7 @@
     m_Handlers.m_OnReady(Received);
   }
   if (HasLeft)
-    m_Handlers.m_OnLeaving();
+    m_Handlers.m_OnLeft();
 }
 
 std::string TargetLink::address() const {
@@ -131,8 +131,8 @@
   Transfer Outgoing = makeOrderTransfer(Address, std::move(Order));
   Outgoing.m_Upload = std::move(Upload);
   Outgoing.m_MakePipe = m_MakePipe;
-  Outgoing.m_OnAnswering = [this, Id](HttpAnswer Head) {
-    m_Handlers.m_OnAnswering(Id, std::move(Head));
+  Outgoing.m_OnAnswerHead = [this, Id](HttpAnswer Head) {
+    m_Handlers.m_OnAnswerHead(Id, std::move(Head));
   };
   Outgoing.m_OnEnd = [this, Id, CancelUrl](TransferResult Result) {
     const OrderEnd End = classifyOrderEnd(Result);
@@ -217,7 +217,7 @@
       return;
     m_Current.reset();
   }
-  m_Handlers.m_OnLeaving();
+  m_Handlers.m_OnLeft();
 }
 
 } // namespace balsamwheel::target_http
--- a/src/adapters/target_http/target_link.h
+++ b/src/adapters/target_http/target_link.h
@@ -44,8 +44,8 @@
   /// The target was announced, has changed, or has become cold.
   std::function<void(const Announcement &)> m_OnReady;
   /// The target announced that it leaves, or its announcements stopped.
-  std::function<void()> m_OnLeaving;
-  std::function<void(OrderId, HttpAnswer Head)> m_OnAnswering;
+  std::function<void()> m_OnLeft;
+  std::function<void(OrderId, HttpAnswer Head)> m_OnAnswerHead;
   std::function<void(OrderReport)> m_OnEnd;
   std::function<void(LoadHint)> m_OnLoad;
 };
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -7,7 +7,7 @@
 #include "adapters/target_http/target_link.h"
 #include "daemon/admin.h"
 #include "daemon/core.h"
-#include "daemon/peer_gate.h"
+#include "daemon/peer_receiver.h"
 
 #include <random>
 #include <utility>
@@ -109,8 +109,8 @@
             [&Events](const target_http::Announcement &Message) {
               Events.post(TargetReady{Message.m_Service, Message.m_Slots});
             },
-        .m_OnLeaving = [&Events] { Events.post(TargetLeft{}); },
-        .m_OnAnswering =
+        .m_OnLeft = [&Events] { Events.post(TargetLeft{}); },
+        .m_OnAnswerHead =
             [&Events](OrderId Order, HttpAnswer Head) {
               Events.post(OrderHeadReceived{Order, std::move(Head)});
             },
@@ -136,7 +136,7 @@
               m_Shared.m_Metrics.droppedEvents().Increment();
               return false;
             },
-        .m_OnGone =
+        .m_OnCallerDisconnected =
             [this](RequestHandle Request) {
               m_Shared.m_Inbox.post(CallerDisconnected{Request});
             },
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -100,7 +100,7 @@
     if (!m_Mailbox.prepareToSleep())
       return;
     m_Waker.sleepUntil(Until);
-    m_Mailbox.awake();
+    m_Mailbox.finishSleep();
   }
   std::size_t size() const { return m_Mailbox.size(); }
 
--- a/src/daemon/peer_gate.cpp
+++ b/src/daemon/peer_receiver.cpp
@@ -1,5 +1,5 @@
 // Dispatch of messages from other daemons.
-#include "daemon/peer_gate.h"
+#include "daemon/peer_receiver.h"
 
 #include <utility>
 
--- a/src/link/peer_link.cpp
+++ b/src/link/peer_link.cpp
@@ -56,15 +56,16 @@
            },
        .m_OnData = [this](std::string_view Bytes) { received(Bytes); },
        .m_OnEnd =
-           [this](StreamEnd How) {
-             fail(How == StreamEnd::Closed ? "closed" : "connection failed");
+           [this](StreamEndReason How) {
+             fail(How == StreamEndReason::Closed ? "closed"
+                                                 : "connection failed");
            },
        .m_OnDrained =
            [this] {
              if (m_Events.m_OnDrained)
                m_Events.m_OnDrained();
            }});
-  m_Stream.setSendBuffer(SendBufferBytes);
+  m_Stream.setSendBufferSize(SendBufferBytes);
 }
 
 void PeerLink::send(const LinkFrame &Frame, std::string_view Body) {
--- a/src/link/peer_link.h
+++ b/src/link/peer_link.h
@@ -46,7 +46,7 @@
   /// Time at which bytes last arrived.
   TimePoint lastReceived() const { return m_LastReceived; }
   /// Bytes that haven't been written to the socket yet.
-  std::size_t pending() const { return m_Stream.pending(); }
+  std::size_t pendingBytes() const { return m_Stream.pendingBytes(); }
 
 private:
   void received(std::string_view Bytes);
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -57,9 +57,9 @@
 
 Duration EventLoop::untilNextTimer() const {
   if (m_Timers.empty())
-    return m_Options.m_LongestSleep;
+    return m_Options.m_MaxSleep;
   return std::clamp(m_Timers.begin()->first - bootNow(), Duration::zero(),
-                    m_Options.m_LongestSleep);
+                    m_Options.m_MaxSleep);
 }
 
 void EventLoop::runPosted() {
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -26,7 +26,7 @@
   std::size_t m_MaxHandles = 4096;
   /// Longest wait for an event. After a signal it is at most this long until
   /// run() calls \p AfterWakeUp.
-  Duration m_LongestSleep = std::chrono::milliseconds(250);
+  Duration m_MaxSleep = std::chrono::milliseconds(250);
 };
 
 /// Runs everything on the thread that calls run(); not thread-safe.
@@ -53,7 +53,7 @@
   void post(Task Work) { m_Posted.push_back(std::move(Work)); }
   /// Destroys \p Object after the current event, so that it may be called from
   /// one of its own callbacks.
-  template <typename T> void retire(std::unique_ptr<T> Object) {
+  template <typename T> void destroyLater(std::unique_ptr<T> Object) {
     post([Owned = std::shared_ptr<T>(std::move(Object))] {});
   }
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -34,13 +34,13 @@
     m_Stream.setEvents(
         {.m_OnOpen = [this] { onOpen(); },
          .m_OnData = [this](std::string_view Bytes) { onData(Bytes); },
-         .m_OnEnd = [this](StreamEnd Reason) { onEnd(Reason); }});
+         .m_OnEnd = [this](StreamEndReason Reason) { onEnd(Reason); }});
   }
 
   ~HttpClientConnection() { m_Loop.cancel(m_Timer); }
 
   bool connect(const Endpoint &Server) {
-    m_Stream.setTcpUserTimeout(m_Client.m_Options.m_UnacknowledgedLimit);
+    m_Stream.setTcpUserTimeout(m_Client.m_Options.m_TcpUserTimeout);
     return m_Stream.connect(Server);
   }
   bool idle() const { return !m_Call; }
@@ -63,11 +63,11 @@
 
   /// Closes the connection and ends its call, if any, with \p CallOutcome
   /// and \p Error.
-  void fail(HttpCallEnd CallOutcome, const char *Error) {
+  void fail(HttpCallOutcome CallOutcome, const char *Error) {
     const std::unique_ptr<HttpClient::PendingCall> Call = std::move(m_Call);
     shutDown();
     if (Call)
-      Call->m_Done({.m_End = CallOutcome, .m_Error = Error});
+      Call->m_Done({.m_CallOutcome = CallOutcome, .m_Error = Error});
   }
 
   void shutDown() {
@@ -105,9 +105,9 @@
     if (!m_Call)
       return shutDown();
     if (!m_RequestSent)
-      return fail(HttpCallEnd::NotSent, "no connection in time");
+      return fail(HttpCallOutcome::NotSent, "no connection in time");
     m_Client.closeIdle();
-    fail(HttpCallEnd::TimedOut, "no answer in time");
+    fail(HttpCallOutcome::TimedOut, "no answer in time");
   }
 
   void onData(std::string_view Bytes) {
@@ -123,7 +123,7 @@
       if (State == ParseState::NeedMore)
         return;
       if (State != ParseState::Complete)
-        return fail(HttpCallEnd::Broken, "the bytes are no HTTP answer");
+        return fail(HttpCallOutcome::Broken, "the bytes are no HTTP answer");
       complete(m_Parser->take());
     }
   }
@@ -139,7 +139,7 @@
     // After surplus bytes, or with a part of the request still unsent, the
     // connection can't be reused.
     const bool Reusable = Answer.m_KeepAlive && m_Input.empty() &&
-                          m_Stream.isOpen() && m_Stream.pending() == 0;
+                          m_Stream.isOpen() && m_Stream.pendingBytes() == 0;
     const auto ServerTimeout =
         keepAliveTimeout(Answer.m_Headers.get("Keep-Alive"));
     const std::unique_ptr<HttpClient::PendingCall> Done = std::move(m_Call);
@@ -153,22 +153,22 @@
       setTimer(Idle);
     else
       shutDown();
-    Done->m_Done(
-        {.m_End = HttpCallEnd::Answered, .m_Answer = std::move(Answer)});
+    Done->m_Done({.m_CallOutcome = HttpCallOutcome::Answered,
+                  .m_Answer = std::move(Answer)});
     m_Client.dispatch();
   }
 
-  void onEnd(StreamEnd Reason) {
+  void onEnd(StreamEndReason Reason) {
     if (!m_Call)
       return shutDown();
     if (!m_RequestSent)
-      return fail(HttpCallEnd::NotSent, "the connection was refused");
+      return fail(HttpCallOutcome::NotSent, "the connection was refused");
     // An answer without a length ends with an orderly close, never with a
     // failure.
-    if (Reason == StreamEnd::Closed &&
+    if (Reason == StreamEndReason::Closed &&
         m_Parser->finish() == ParseState::Complete)
       return complete(m_Parser->take());
-    fail(HttpCallEnd::Broken, "the connection ended before the answer");
+    fail(HttpCallOutcome::Broken, "the connection ended before the answer");
   }
 
   HttpClient &m_Client;
@@ -222,7 +222,8 @@
         const PendingCall Failed = std::move(m_Queue.front());
         m_Queue.pop_front();
         m_Loop.post([Done = Failed.m_Done] {
-          Done({.m_End = HttpCallEnd::NotSent, .m_Error = "no socket"});
+          Done({.m_CallOutcome = HttpCallOutcome::NotSent,
+                .m_Error = "no socket"});
         });
         continue;
       }
@@ -261,9 +262,9 @@
   for (const auto &Connection : m_Connections)
     All.push_back(Connection.get());
   for (HttpClientConnection *Connection : All)
-    Connection->fail(HttpCallEnd::Broken, "the endpoint was given up");
+    Connection->fail(HttpCallOutcome::Broken, "the endpoint was given up");
   for (const PendingCall &Call : Unsent)
-    Call.m_Done({.m_End = HttpCallEnd::NotSent,
+    Call.m_Done({.m_CallOutcome = HttpCallOutcome::NotSent,
                  .m_Error = "the endpoint was given up"});
 }
 
@@ -273,7 +274,7 @@
       [&](const auto &Owned) { return Owned.get() == Connection; });
   if (Found == m_Connections.end())
     return;
-  m_Loop.retire(std::move(*Found));
+  m_Loop.destroyLater(std::move(*Found));
   m_Connections.erase(Found);
   m_Loop.post([this] { dispatch(); });
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -10,7 +10,7 @@
 namespace balsamwheel {
 
 /// How a call ended.
-enum class HttpCallEnd : std::uint8_t {
+enum class HttpCallOutcome : std::uint8_t {
   /// A complete answer was received.
   Answered,
   /// No byte of the request was sent.
@@ -23,7 +23,7 @@
 };
 
 struct HttpCallResult {
-  HttpCallEnd m_End = HttpCallEnd::NotSent;
+  HttpCallOutcome m_CallOutcome = HttpCallOutcome::NotSent;
   HttpAnswer m_Answer;
   /// Why the call ended without an answer; a string literal.
   const char *m_Error = "";
@@ -49,7 +49,7 @@
   ParseLimits m_Limits;
   /// A connection fails when sent data stays unacknowledged for this long
   /// (TCP_USER_TIMEOUT).
-  Duration m_UnacknowledgedLimit = std::chrono::seconds(4);
+  Duration m_TcpUserTimeout = std::chrono::seconds(4);
   Duration m_ConnectTimeout = std::chrono::milliseconds(800);
   /// Idle connections are closed after this time, before the server does so.
   Duration m_IdleTimeout = std::chrono::seconds(4);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -33,15 +33,15 @@
         m_LastActive(Loop.now()) {
     m_Stream.setEvents(
         {.m_OnData = [this](std::string_view Bytes) { onData(Bytes); },
-         .m_OnEnd = [this](StreamEnd) { onEnd(); }});
+         .m_OnEnd = [this](StreamEndReason) { onEnd(); }});
   }
 
   bool adopt(ACE_HANDLE Handle) { return m_Stream.adopt(Handle); }
-  std::size_t pending() const { return m_Stream.pending(); }
+  std::size_t pendingBytes() const { return m_Stream.pendingBytes(); }
   bool busy() const { return m_Exchange != nullptr; }
   /// Returns whether nothing is being read, served or sent.
   bool idle() const {
-    return !m_Exchange && !m_Parser && m_Input.empty() && pending() == 0;
+    return !m_Exchange && !m_Parser && m_Input.empty() && pendingBytes() == 0;
   }
   TimePoint lastActive() const { return m_LastActive; }
 
@@ -210,10 +210,10 @@
   return Count;
 }
 
-std::size_t HttpServer::pending() const {
+std::size_t HttpServer::pendingBytes() const {
   std::size_t Bytes = 0;
   for (const auto &[Key, Connection] : m_Connections)
-    Bytes += Connection->pending();
+    Bytes += Connection->pendingBytes();
   return Bytes;
 }
 
@@ -248,7 +248,7 @@
 void HttpServer::remove(HttpServerConnection *Connection) {
   auto Found = m_Connections.extract(Connection);
   if (!Found.empty())
-    m_Loop.retire(std::move(Found.mapped()));
+    m_Loop.destroyLater(std::move(Found.mapped()));
 }
 
 void HttpServer::checkTimeouts() {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -27,7 +27,7 @@
   void abort();
   /// Sets the function that is called if the caller disconnects before it was
   /// answered.
-  void onGone(std::function<void()> Callback) {
+  void onCallerDisconnected(std::function<void()> Callback) {
     m_OnCallerDisconnected = std::move(Callback);
   }
   /// Returns whether the request was answered or aborted, or its caller has
@@ -77,7 +77,7 @@
   /// Returns the number of requests that were read and not yet answered.
   std::size_t activeRequests() const;
   /// Returns the number of answer bytes in the output buffers.
-  std::size_t pending() const;
+  std::size_t pendingBytes() const;
 
 private:
   friend class HttpServerConnection;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -146,7 +146,7 @@
 
 void Stream::closeWhenDrained() {
   m_CloseWhenDrained = true;
-  if (pending() == 0 && !m_Connecting)
+  if (pendingBytes() == 0 && !m_Connecting)
     close();
 }
 
@@ -158,7 +158,7 @@
   m_Connecting = false;
 }
 
-void Stream::end(StreamEnd Reason) {
+void Stream::end(StreamEndReason Reason) {
   close();
   if (m_Events.m_OnEnd)
     m_Events.m_OnEnd(Reason);
@@ -169,7 +169,7 @@
   socklen_t Size = sizeof Error;
   if (getsockopt(m_Handle, SOL_SOCKET, SO_ERROR, &Error, &Size) != 0 ||
       Error != 0) {
-    end(StreamEnd::Failed);
+    end(StreamEndReason::Failed);
     return false;
   }
   m_Connecting = false;
@@ -200,9 +200,9 @@
     if (m_Events.m_OnData)
       m_Events.m_OnData({Buffer.data(), static_cast<std::size_t>(Received)});
   } else if (Received == 0) {
-    end(StreamEnd::Closed);
+    end(StreamEndReason::Closed);
   } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-    end(StreamEnd::Failed);
+    end(StreamEndReason::Failed);
   }
   return 0;
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -25,7 +25,7 @@
 };
 
 /// How a connection ended.
-enum class StreamEnd : std::uint8_t {
+enum class StreamEndReason : std::uint8_t {
   /// The peer closed the connection in order (FIN).
   Closed,
   /// The connection was reset or refused, or failed with another error.
@@ -37,7 +37,7 @@
   std::function<void()> m_OnOpen;
   std::function<void(std::string_view)> m_OnData;
   /// The connection has ended. Called at most once, and never after close().
-  std::function<void(StreamEnd)> m_OnEnd;
+  std::function<void(StreamEndReason)> m_OnEnd;
   /// The output buffer has become empty.
   std::function<void()> m_OnDrained;
 };
@@ -59,7 +59,7 @@
   void setTcpUserTimeout(Duration Timeout) { m_TcpUserTimeout = Timeout; }
   /// Sets the size of the kernel's send buffer (SO_SNDBUF); 0 leaves the
   /// kernel's default.
-  void setSendBuffer(int Bytes) { m_SendBufferBytes = Bytes; }
+  void setSendBufferSize(int Bytes) { m_SendBufferBytes = Bytes; }
   /// Starts to connect; the result is reported by an event.
   ///
   /// \returns false if no socket could be created or the attempt failed at
@@ -77,7 +77,7 @@
     return m_Handle != ACE_INVALID_HANDLE && !m_Connecting;
   }
   /// Returns the number of bytes in the output buffer.
-  std::size_t pending() const { return m_Output.size() - m_SentBytes; }
+  std::size_t pendingBytes() const { return m_Output.size() - m_SentBytes; }
 
   ACE_HANDLE get_handle() const override { return m_Handle; }
   int handle_input(ACE_HANDLE) override;
@@ -87,7 +87,7 @@
   bool watch(ACE_Reactor_Mask Mask);
   void watchWritable(bool Watched);
   void flush();
-  void end(StreamEnd Reason);
+  void end(StreamEndReason Reason);
   bool completeConnect();
 
   EventLoop &m_Loop;
--- a/src/router/entrance.cpp
+++ b/src/router/entrance.cpp
@@ -48,7 +48,8 @@
   if (!resolveRoute(Entry))
     return fail(Request, 404, Reason::UnknownService);
   m_Retries.onFirstAttempt();
-  Entry.m_Exchange->onGone([this, Request] { callerLeft(Request); });
+  Entry.m_Exchange->onCallerDisconnected(
+      [this, Request] { callerLeft(Request); });
   Entry.m_DeadlineTimer = m_Loop.after(Entry.m_Deadline - m_Loop.now(),
                                        [this, Request] { timedOut(Request); });
   dispatch(Request);
--- a/src/router/key_coordinator.cpp
+++ b/src/router/key_coordinator.cpp
@@ -85,7 +85,7 @@
 void KeyCoordinator::onCommitReply(const TableServiceReply &Reply,
                                    TimePoint StartedAt, bool HadWrite) {
   m_Committing = false;
-  const bool Succeeded = Reply.m_End == TableEnd::Ok;
+  const bool Succeeded = Reply.m_CallOutcome == TableCallOutcome::Ok;
   m_NextCheck = StartedAt + (Succeeded ? m_Options.m_CheckInterval
                                        : m_Options.m_CheckRetryDelay);
   if (Succeeded)
@@ -97,7 +97,7 @@
         LogLine(HadWrite ? "key_map_commit" : "key_map_check")
             .add("service", m_Service.value())
             .add("expected", static_cast<std::int64_t>(m_Version.value()))
-            .add("end", std::int64_t{static_cast<int>(Reply.m_End)})
+            .add("end", std::int64_t{static_cast<int>(Reply.m_CallOutcome)})
             .add("error", Reply.m_Error));
   for (const MirroredRow &Row : Reply.m_Rows)
     m_Callbacks.m_OnRow(Row);
--- a/src/router/peer_mesh.cpp
+++ b/src/router/peer_mesh.cpp
@@ -89,7 +89,7 @@
                           const char *Why) {
   if (Remote.m_Link) {
     Remote.m_Link->close();
-    m_Loop.retire(std::move(Remote.m_Link));
+    m_Loop.destroyLater(std::move(Remote.m_Link));
   }
   Remote.m_ReconnectDelay =
       std::clamp(Remote.m_ReconnectDelay * 2, m_Options.m_MinReconnectDelay,
@@ -213,7 +213,7 @@
   auto Node = m_Inbound.extract(LinkId);
   if (Node.empty())
     return;
-  m_Loop.retire(std::move(Node.mapped().m_Link));
+  m_Loop.destroyLater(std::move(Node.mapped().m_Link));
   m_Events.m_OnInboundClosed(LinkId);
   std::erase_if(m_LargeAnswers,
                 [&](const LargeAnswer &Each) { return Each.m_Link == LinkId; });
@@ -238,7 +238,7 @@
     if (Found == m_Inbound.end())
       continue;
     Found->second.m_Link->sendEncoded(Next.m_Text);
-    if (Found->second.m_Link->pending() > 0)
+    if (Found->second.m_Link->pendingBytes() > 0)
       m_LargeAnswerLink = Next.m_Link;
   }
 }
@@ -355,7 +355,7 @@
   for (const LargeAnswer &Each : m_LargeAnswers)
     Sum += Each.m_Text.size();
   for (const auto &[Id, Remote] : m_Inbound)
-    Sum += Remote.m_Link->pending();
+    Sum += Remote.m_Link->pendingBytes();
   return Sum;
 }
 
@@ -366,7 +366,7 @@
       ForService ? encodeFrame(*ForService, {}) : ReportText;
   for (auto &[Id, Remote] : m_Inbound)
     if (!Remote.m_Instance.value().empty() &&
-        Remote.m_Link->pending() < MaxPendingBytesForReport)
+        Remote.m_Link->pendingBytes() < MaxPendingBytesForReport)
       Remote.m_Link->sendEncoded(Remote.m_Service == m_Settings.m_Service
                                      ? ServiceReportText
                                      : ReportText);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -170,7 +170,8 @@
     m_Agent.refuseNew();
   }
   const bool Idle = m_Entrance.active() == 0 && m_Agent.jobs() == 0 &&
-                    m_Callers.pending() == 0 && m_Mesh.pendingAnswers() == 0;
+                    m_Callers.pendingBytes() == 0 &&
+                    m_Mesh.pendingAnswers() == 0;
   if (!Idle)
     m_IdleSince = m_Loop.now();
   return (Since > StopAcceptPeriod &&
@@ -294,7 +295,7 @@
                      m_Log.write(LogClass::StateChange,
                                  LogLine("member_row_commit")
                                      .add("end", std::int64_t{static_cast<int>(
-                                                     Reply.m_End)})
+                                                     Reply.m_CallOutcome)})
                                      .add("error", Reply.m_Error));
                      for (const MirroredRow &Each : Reply.m_Rows)
                        publishRow(Each);
--- a/src/router/table_follower.cpp
+++ b/src/router/table_follower.cpp
@@ -83,8 +83,8 @@
 
 bool TableFollower::recordReachability(FollowedTable &Followed,
                                        const TableServiceReply &Reply) {
-  const bool Reached =
-      Reply.m_End == TableEnd::Ok || Reply.m_End == TableEnd::HistoryLost;
+  const bool Reached = Reply.m_CallOutcome == TableCallOutcome::Ok ||
+                       Reply.m_CallOutcome == TableCallOutcome::HistoryLost;
   if (Reached != Followed.m_Reachable)
     m_Log.write(LogClass::StateChange,
                 LogLine(Reached ? "table_regained" : "table_lost")
@@ -123,7 +123,7 @@
                               const TableServiceReply &Reply) {
   if (!recordReachability(Followed, Reply))
     return;
-  if (Reply.m_End == TableEnd::HistoryLost) {
+  if (Reply.m_CallOutcome == TableCallOutcome::HistoryLost) {
     Followed.m_Position.reset();
     return startCall(Followed);
   }
--- a/src/router/table_service.h
+++ b/src/router/table_service.h
@@ -10,7 +10,7 @@
 
 namespace balsamwheel {
 
-enum class TableEnd : std::uint8_t {
+enum class TableCallOutcome : std::uint8_t {
   Ok,
   /// The condition wasn't met; nothing was written. The reply contains the row
   /// that the condition named.
@@ -26,7 +26,7 @@
 };
 
 struct TableServiceReply {
-  TableEnd m_End = TableEnd::Refused;
+  TableCallOutcome m_CallOutcome = TableCallOutcome::Refused;
   std::vector<MirroredRow> m_Rows;
   /// Latest version of the whole store.
   RowVersion m_Version;
--- a/src/router/target_agent.cpp
+++ b/src/router/target_agent.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint32_t SpareConnections = 2;
 /// Unacknowledged data for this long means that the target is gone: it is on
 /// the same machine.
-constexpr Duration TargetUnacknowledgedLimit = std::chrono::seconds(1);
+constexpr Duration TargetTcpUserTimeout = std::chrono::seconds(1);
 /// Maximum idle time of a connection that is reused for a non-idempotent
 /// request.
 constexpr Duration NonIdempotentMaxIdle = std::chrono::milliseconds(500);
@@ -77,7 +77,7 @@
   closeGate(Reason::TargetFailed);
   if (m_Client) {
     m_Client->reset();
-    m_Loop.retire(std::move(m_Client));
+    m_Loop.destroyLater(std::move(m_Client));
   }
   m_Target = Heartbeat.m_Target;
   m_Ledger.emplace(m_Options.m_Holds,
@@ -88,7 +88,7 @@
   m_Loop.cancel(m_CloseTimer);
   HttpClientOptions Client;
   Client.m_MaxConnections = Heartbeat.m_Slots + SpareConnections;
-  Client.m_UnacknowledgedLimit = TargetUnacknowledgedLimit;
+  Client.m_TcpUserTimeout = TargetTcpUserTimeout;
   m_Client = std::make_unique<HttpClient>(m_Loop, m_Settings.m_Target, Client);
   openGate();
 }
@@ -338,21 +338,21 @@
   Job &Entry = m_Jobs.at(Id);
   forgetRunning(Entry.m_Job.m_Id);
   const Duration ServiceTime = m_Loop.now() - Entry.m_SentAt;
-  TargetJobResult JobResult{.m_ReachedTarget =
-                                Result.m_End != HttpCallEnd::NotSent};
+  TargetJobResult JobResult{.m_ReachedTarget = Result.m_CallOutcome !=
+                                               HttpCallOutcome::NotSent};
   bool Served = false;
-  switch (Result.m_End) {
-  case HttpCallEnd::NotSent:
+  switch (Result.m_CallOutcome) {
+  case HttpCallOutcome::NotSent:
     JobResult.m_Reason = Reason::TargetFailed;
     JobResult.m_RetryAfter = m_Options.m_ConnectRetryDelay;
     JobResult.m_Outcome = Outcome::Wait;
     break;
-  case HttpCallEnd::Broken:
-  case HttpCallEnd::TimedOut:
+  case HttpCallOutcome::Broken:
+  case HttpCallOutcome::TimedOut:
     JobResult.m_Outcome = Outcome::Unknown;
     JobResult.m_Reason = Reason::TargetFailed;
     break;
-  case HttpCallEnd::Answered:
+  case HttpCallOutcome::Answered:
     switch (m_Format.classify(Result.m_Answer)) {
     case TargetAnswerKind::Ran:
       JobResult.m_Outcome = Outcome::Done;
@@ -388,7 +388,7 @@
                     .add("running", std::int64_t{m_Gate.running()})
                     .add("took", ServiceTime));
   m_Gate.finished(Entry.m_Job.m_Route, ServiceTime, Served);
-  if (Result.m_End == HttpCallEnd::NotSent)
+  if (Result.m_CallOutcome == HttpCallOutcome::NotSent)
     onConnectionRefused();
   finish(Id, std::move(JobResult));
   sendQueued();
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -58,7 +58,7 @@
   }
 
   /// Called by the consumer after it has slept.
-  void awake() { m_Asleep.store(false, std::memory_order_relaxed); }
+  void finishSleep() { m_Asleep.store(false, std::memory_order_relaxed); }
 
   std::size_t size() const { return m_Ring.size(); }
 
--- a/tests/fake_table_service.h
+++ b/tests/fake_table_service.h
@@ -38,7 +38,7 @@
   }
 
   TableServiceReply changesAfter(TableName Table, RowVersion After) const {
-    TableServiceReply Reply{.m_End = TableEnd::Ok,
+    TableServiceReply Reply{.m_CallOutcome = TableCallOutcome::Ok,
                             .m_Version = RowVersion(m_Version)};
     for (const auto &[TableAndKey, Row] : m_Rows)
       if (TableAndKey.first == Table && Row.m_Version > After)
@@ -87,12 +87,12 @@
     const RowVersion Known =
         Found == m_Rows.m_Rows.end() ? RowVersion() : Found->second.m_Version;
     if (Commit.m_Conditional && Known != Commit.m_Expected) {
-      TableServiceReply Conflict{.m_End = TableEnd::Conflict};
+      TableServiceReply Conflict{.m_CallOutcome = TableCallOutcome::Conflict};
       if (Found != m_Rows.m_Rows.end())
         Conflict.m_Rows.push_back(Found->second);
       return reply(Done, std::move(Conflict));
     }
-    TableServiceReply Ok{.m_End = TableEnd::Ok};
+    TableServiceReply Ok{.m_CallOutcome = TableCallOutcome::Ok};
     if (Commit.m_Value) {
       m_Rows.put(TableName::Own, Commit.m_Key.value(), Commit.m_Value);
       Ok.m_Rows.push_back(m_Rows.m_Rows.at({TableName::Own, Commit.m_Key}));
--- a/tests/router_rig.h
+++ b/tests/router_rig.h
@@ -115,7 +115,7 @@
 class Rig {
 public:
   Rig()
-      : m_Loop({.m_LongestSleep = 20ms}), m_Log(m_Loop, {.m_Output = -1}),
+      : m_Loop({.m_MaxSleep = 20ms}), m_Log(m_Loop, {.m_Output = -1}),
         m_Rows(m_Loop) {}
 
   Instance &add(const std::string &Name, const std::string &Service) {
@@ -169,7 +169,7 @@
                   const std::string &Method = "GET", int Key = -1) {
     auto Result = start(Ingress, Path, Method, Key);
     REQUIRE(runUntil([&] { return Result->has_value(); }));
-    REQUIRE((*Result)->m_End == HttpCallEnd::Answered);
+    REQUIRE((*Result)->m_CallOutcome == HttpCallOutcome::Answered);
     return (*Result)->m_Answer;
   }
 
--- a/tests/unit-caller-server.cpp
+++ b/tests/unit-caller-server.cpp
@@ -82,7 +82,7 @@
               m_Handle(m_Server, std::move(Request));
               return true;
             },
-        .m_OnGone = [this](RequestHandle) { ++m_Disconnects; },
+        .m_OnCallerDisconnected = [this](RequestHandle) { ++m_Disconnects; },
         .m_MakePipe =
             [this](std::string_view Prefix,
                    std::optional<std::uint64_t> Length) {
--- a/tests/unit-http-loop.cpp
+++ b/tests/unit-http-loop.cpp
@@ -55,7 +55,7 @@
 TEST_CASE("a complete answer is delivered") {
   const HttpCallResult Result = callOnce(
       [](const std::string &, int) { return makeAnswer("1", "hello"); });
-  CHECK(Result.m_End == HttpCallEnd::Answered);
+  CHECK(Result.m_CallOutcome == HttpCallOutcome::Answered);
   CHECK(Result.m_Answer.m_Body == "hello");
 }
 
@@ -66,7 +66,7 @@
                                "Content-Length: 9\r\n\r\npart",
                     .m_Close = true};
   });
-  CHECK(Result.m_End == HttpCallEnd::Broken);
+  CHECK(Result.m_CallOutcome == HttpCallOutcome::Broken);
 }
 
 TEST_CASE(
@@ -74,14 +74,14 @@
   const HttpCallResult Result = callOnce([](const std::string &, int) {
     return RawReply{.m_Bytes = "garbage\r\n\r\n"};
   });
-  CHECK(Result.m_End == HttpCallEnd::Broken);
+  CHECK(Result.m_CallOutcome == HttpCallOutcome::Broken);
 }
 
 TEST_CASE("a call to a silent server times out") {
   const HttpCallResult Result = callOnce(
       [](const std::string &, int) { return RawReply{.m_Silent = true}; },
       200ms);
-  CHECK(Result.m_End == HttpCallEnd::TimedOut);
+  CHECK(Result.m_CallOutcome == HttpCallOutcome::TimedOut);
 }
 
 TEST_CASE("a refused connection ends the call as NotSent") {
@@ -96,7 +96,7 @@
   Client.call(makeCall("1"),
               [&](HttpCallResult Done) { Result = std::move(Done); });
   runUntil(Loop, [&] { return Result.has_value(); });
-  CHECK(Result->m_End == HttpCallEnd::NotSent);
+  CHECK(Result->m_CallOutcome == HttpCallOutcome::NotSent);
 }
 
 TEST_CASE("a duplicate answer of an earlier request is dropped") {
@@ -200,7 +200,7 @@
   int Done = 0;
   for (int Count = 0; Count < 5; ++Count)
     Client.call(makeCall("1"), [&](HttpCallResult Result) {
-      CHECK(Result.m_End == HttpCallEnd::Answered);
+      CHECK(Result.m_CallOutcome == HttpCallOutcome::Answered);
       ++Done;
     });
   runUntil(Loop, [&] { return Done == 5; });
@@ -214,15 +214,15 @@
   EventLoop Loop({});
   HttpClient Client(Loop, *Endpoint::fromText(Server.address()),
                     {.m_MaxConnections = 1});
-  std::vector<HttpCallEnd> Ends;
+  std::vector<HttpCallOutcome> Ends;
   for (int Count = 0; Count < 3; ++Count)
     Client.call(makeCall("1"), [&](const HttpCallResult &Result) {
-      Ends.push_back(Result.m_End);
+      Ends.push_back(Result.m_CallOutcome);
     });
   runUntil(Loop, [&] { return !Server.requests().empty(); });
   Client.reset();
-  CHECK(Ends == std::vector{HttpCallEnd::Broken, HttpCallEnd::NotSent,
-                            HttpCallEnd::NotSent});
+  CHECK(Ends == std::vector{HttpCallOutcome::Broken, HttpCallOutcome::NotSent,
+                            HttpCallOutcome::NotSent});
 }
 
 namespace {
@@ -243,7 +243,7 @@
     m_Client = std::make_unique<Stream>(m_Loop);
     m_Client->setEvents(
         {.m_OnData = [this](std::string_view Data) { m_Received.append(Data); },
-         .m_OnEnd = [this](StreamEnd) { m_Ended = true; }});
+         .m_OnEnd = [this](StreamEndReason) { m_Ended = true; }});
     REQUIRE(m_Client->connect(m_Address));
     m_Client->write(Bytes);
   }
@@ -282,7 +282,7 @@
   runUntil(Rig.m_Loop, [&] {
     if (!Registered && Rig.m_Exchanges.size() == 1) {
       Registered = true;
-      Rig.m_Exchanges[0]->onGone([&] { Disconnected = true; });
+      Rig.m_Exchanges[0]->onCallerDisconnected([&] { Disconnected = true; });
       Rig.m_Client->close();
     }
     return Disconnected;
@@ -332,7 +332,7 @@
              },
          .m_OnData =
              [&Current](std::string_view) { Current.m_Answered = true; },
-         .m_OnEnd = [&Current](StreamEnd) { Current.m_Ended = true; }});
+         .m_OnEnd = [&Current](StreamEndReason) { Current.m_Ended = true; }});
     REQUIRE(Current.m_Stream->connect(Address));
     runUntil(Loop, [&] { return Current.m_Answered || Current.m_Ended; });
     CHECK(Current.m_Answered);
--- a/tests/unit-rings.cpp
+++ b/tests/unit-rings.cpp
@@ -76,7 +76,7 @@
     }
     if (Received < Producers * ValuesPerProducer && Box.prepareToSleep()) {
       Waker.sleepUntil(bootNow() + std::chrono::seconds(5));
-      Box.awake();
+      Box.finishSleep();
     }
   }
   for (std::thread &Thread : Threads)
--- a/tests/unit-store-client.cpp
+++ b/tests/unit-store-client.cpp
@@ -21,7 +21,7 @@
 class StoreRig {
 public:
   explicit StoreRig(RawServer::Script Script)
-      : m_Server(std::move(Script)), m_Loop({.m_LongestSleep = 20ms}),
+      : m_Server(std::move(Script)), m_Loop({.m_MaxSleep = 20ms}),
         m_Log(m_Loop, {.m_Output = -1}),
         m_Store(m_Loop, *Endpoint::fromText(m_Server.address()), m_Metrics,
                 m_Log) {}
@@ -70,7 +70,7 @@
         return answer("200 OK", R"({"Ver":412,"NowS":51.2})");
       },
       &Request);
-  CHECK(Reply.m_End == TableEnd::Ok);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Ok);
   REQUIRE(Reply.m_Rows.size() == 1);
   CHECK(Reply.m_Rows[0].m_Version == RowVersion(412));
   CHECK(Request.starts_with("POST /v1/rows-tx HTTP/1.1\r\n"));
@@ -87,7 +87,7 @@
                   R"({"Rows":[{"Table":"balsamwheel","part":"","Key":"keys/s",
                   "Value":"bm9kZS0x","Ver":9}],"Ver":11})");
   });
-  CHECK(Reply.m_End == TableEnd::Conflict);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Conflict);
   REQUIRE(Reply.m_Rows.size() == 1);
   CHECK(*Reply.m_Rows[0].m_Value == "node-1");
 }
@@ -95,19 +95,19 @@
 TEST_CASE("a call is refused only by a valid answer, else unanswered") {
   CHECK(commitOnce([](const std::string &, int) {
           return answer("503 Busy", "");
-        }).m_End == TableEnd::Refused);
+        }).m_CallOutcome == TableCallOutcome::Refused);
   CHECK(commitOnce([](const std::string &, int) {
           return answer("429 Too Many", "");
-        }).m_End == TableEnd::Refused);
+        }).m_CallOutcome == TableCallOutcome::Refused);
   CHECK(commitOnce([](const std::string &, int) {
           return RawReply{.m_Bytes = "HTTP/1.1 200", .m_Close = true};
-        }).m_End == TableEnd::Unanswered);
+        }).m_CallOutcome == TableCallOutcome::Unanswered);
   CHECK(commitOnce([](const std::string &, int) {
           return answer("200 OK", "not JSON");
-        }).m_End == TableEnd::Unanswered);
+        }).m_CallOutcome == TableCallOutcome::Unanswered);
   CHECK(commitOnce([](const std::string &, int) {
           return RawReply{.m_Silent = true};
-        }).m_End == TableEnd::Unanswered);
+        }).m_CallOutcome == TableCallOutcome::Unanswered);
 }
 
 TEST_CASE("a watch returns changes, removals and lost history") {
@@ -125,9 +125,9 @@
       Store.watch(TableName::Operators, RowVersion(After), 2s, Done);
     });
   };
-  CHECK(Watch(5).m_End == TableEnd::HistoryLost);
+  CHECK(Watch(5).m_CallOutcome == TableCallOutcome::HistoryLost);
   const TableServiceReply Reply = Watch(530);
-  CHECK(Reply.m_End == TableEnd::Ok);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Ok);
   CHECK(Reply.m_Version == RowVersion(533));
   REQUIRE(Reply.m_Rows.size() == 2);
   CHECK(*Reply.m_Rows[0].m_Value == "{}");
@@ -151,7 +151,7 @@
   });
   const TableServiceReply Reply =
       Rig.run([](auto &Store, auto Done) { Store.read(TableName::Own, Done); });
-  CHECK(Reply.m_End == TableEnd::Ok);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Ok);
   CHECK(Reply.m_Version == RowVersion(600));
   CHECK(Reply.m_Rows.size() == 503);
   CHECK(Rig.m_Server.requests().back().find("From=member%2F1499") !=
--- a/tests/unit-table-follower.cpp
+++ b/tests/unit-table-follower.cpp
@@ -32,7 +32,7 @@
 
 private:
   void reply(const OnReply &Done) {
-    TableServiceReply Reply{.m_End = TableEnd::Ok,
+    TableServiceReply Reply{.m_CallOutcome = TableCallOutcome::Ok,
                             .m_Version = RowVersion(++m_Version)};
     Reply.m_Rows.push_back({.m_Table = TableName::Operators,
                             .m_Key = RowKey("config"),
@@ -49,7 +49,7 @@
 /// Time needed for six watches of the operators' table.
 std::chrono::steady_clock::duration timeForSixWatches(double BytesPerSecond,
                                                       std::size_t RowSize) {
-  EventLoop Loop({.m_LongestSleep = 5ms});
+  EventLoop Loop({.m_MaxSleep = 5ms});
   EventLog Log(Loop, {.m_Output = -1});
   ChangingTable Table(Loop, RowSize);
   TableFollower Follower(Loop, Log, Table, {.m_BytesPerSecond = BytesPerSecond},
--- a/tests/unit-target-link.cpp
+++ b/tests/unit-target-link.cpp
@@ -73,8 +73,8 @@
   TargetHandlers handlers() {
     return {
         .m_OnReady = [this](const Announcement &) { ++m_ReadyCount; },
-        .m_OnLeaving = [this] { ++m_LeftCount; },
-        .m_OnAnswering = [](OrderId, const HttpAnswer &) {},
+        .m_OnLeft = [this] { ++m_LeftCount; },
+        .m_OnAnswerHead = [](OrderId, const HttpAnswer &) {},
         .m_OnEnd =
             [this](OrderReport Report) { m_End.set_value(std::move(Report)); },
         .m_OnLoad = {}};
--- a/tests/unit-transfer-loop.cpp
+++ b/tests/unit-transfer-loop.cpp
@@ -167,7 +167,7 @@
     Pipe = std::make_shared<runtime::BodyPipe>(Options);
     return Pipe;
   };
-  Outgoing.m_OnAnswering = [&](HttpAnswer Head) {
+  Outgoing.m_OnAnswerHead = [&](HttpAnswer Head) {
     CHECK(Head.m_Status == 200);
     CHECK(Head.m_BodyLength == Body.size());
     CHECK(Head.m_BodyStream == 5);
