--- a/bench/core/oracle.cpp
+++ b/bench/core/oracle.cpp
@@ -184,11 +184,10 @@
         continue;
       for (const Execution &Order : Instance.m_Orders)
         if (Order.m_Start >= Window.m_From && Order.m_Start < Window.m_To)
-          Violations.push_back({ViolationKind::LateWork,
-                                Order.m_RequestId + " ran at " +
-                                    describe({&Order, &Instance}) +
-                                    ", must start no orders from " +
-                                    std::to_string(toMicros(Window.m_From))});
+          Violations.push_back(
+              {ViolationKind::LateWork,
+               Order.m_RequestId + " ran at " + describe({&Order, &Instance}) +
+                   ", quiet from " + std::to_string(toMicros(Window.m_From))});
     }
 }
 
--- a/bench/core/platform_stand_in.cpp
+++ b/bench/core/platform_stand_in.cpp
@@ -118,7 +118,7 @@
     return object(Request);
   const Json Body = Json::parse(Request.m_Body, nullptr, false);
   if (!Body.is_object())
-    return errorAnswer(400, "the body is not a JSON object");
+    return errorAnswer(400, "body is no JSON object");
   try {
     if (Request.m_Path == "/v1/read")
       return read(Body);
@@ -127,7 +127,7 @@
   } catch (const Json::exception &Error) {
     return errorAnswer(400, Error.what());
   }
-  return errorAnswer(404, "unknown endpoint");
+  return errorAnswer(404, "no such endpoint");
 }
 
 ServerAnswer PlatformStandIn::read(const Json &Body) {
@@ -157,7 +157,7 @@
   }
   const auto Found = m_Objects.find(Name);
   if (Found == m_Objects.end())
-    return errorAnswer(404, "object not found");
+    return errorAnswer(404, "no such object");
   return {.m_Status = 200,
           .m_Headers = {},
           .m_Body = Found->second,
--- a/bench/core/target_stand_in.cpp
+++ b/bench/core/target_stand_in.cpp
@@ -136,7 +136,7 @@
     return Answer->answer(setFaults(Request.m_Body));
   if (Request.m_Path == "/v1/executions")
     return Answer->answer(executions());
-  Answer->answer(jsonAnswer(404, {{"error", "unknown endpoint"}}));
+  Answer->answer(jsonAnswer(404, {{"error", "no such endpoint"}}));
 }
 
 Duration TargetStandIn::drawServiceTime(const ServerRequest &Request) {
@@ -198,7 +198,7 @@
 ServerAnswer TargetStandIn::setFaults(const std::string &Body) {
   const Json Value = Json::parse(Body, nullptr, false);
   if (!Value.is_object())
-    return jsonAnswer(400, {{"error", "the body is not a JSON object"}});
+    return jsonAnswer(400, {{"error", "body is no JSON object"}});
   const std::lock_guard Lock(m_Mutex);
   const TimePoint Now = now();
   if (Value.contains("slow_factor"))
--- a/src/adapters/caller_http/caller_server.cpp
+++ b/src/adapters/caller_http/caller_server.cpp
@@ -262,9 +262,9 @@
 
 bool CallerServer::Impl::startUpload(CallerExchange &Exchange) {
   if (!Exchange.m_Parsed.m_BodyLength) {
-    Exchange.m_Refusal = Refusal{
-        .m_Status = StatusLengthRequired,
-        .m_Detail = "a long request body requires a Content-Length header"};
+    Exchange.m_Refusal =
+        Refusal{.m_Status = StatusLengthRequired,
+                .m_Detail = "a long body needs its Content-Length"};
     return false;
   }
   Exchange.m_Upload =
--- a/src/adapters/caller_http/request_parser.cpp
+++ b/src/adapters/caller_http/request_parser.cpp
@@ -112,7 +112,7 @@
     if (!m_Service->m_DividedByKey)
       return std::nullopt;
     if (Key.empty())
-      return badRequest("the service requires a key: header Balsamwheel-Key or "
+      return badRequest("the service needs a key: header Balsamwheel-Key or "
                         "query parameter 'key'");
     m_Result.m_Meta.m_Key = Key;
     return std::nullopt;
@@ -163,7 +163,7 @@
       return badRequest("Balsamwheel-First-Attempt-Age-Ms must be a whole "
                         "number of milliseconds");
     if (*Attempt > 1 && Id == nullptr)
-      return badRequest("a repeated attempt requires Balsamwheel-Request-Id");
+      return badRequest("a repeated attempt needs its Balsamwheel-Request-Id");
     m_Result.m_Meta.m_Attempt = static_cast<std::uint32_t>(*Attempt);
     m_Result.m_Meta.m_FirstAttemptAge = std::chrono::milliseconds(*Age);
     return std::nullopt;
@@ -179,7 +179,7 @@
     }
     m_Result.m_BodyLength = parseNumber(*Text);
     if (!m_Result.m_BodyLength)
-      return badRequest("Content-Length is not a number");
+      return badRequest("Content-Length is no number");
     if (*m_Result.m_BodyLength > m_Result.m_MaxBodyBytes)
       return Refusal{.m_Status = StatusTooLarge,
                      .m_Detail = "the body is larger than " +
@@ -233,7 +233,7 @@
     return Refusal{.m_Status = StatusUnavailable,
                    .m_Outcome = Outcome::Wait,
                    .m_Reason = Reason::NoOwner,
-                   .m_Detail = "no configuration has been loaded yet",
+                   .m_Detail = "no configuration is known yet",
                    .m_RetryAfter = NoConfigRetryAfter};
   Parser Steps(Head, *ActiveConfig);
   if (auto Problem = Steps.readService())
--- a/src/adapters/target_http/announcement.cpp
+++ b/src/adapters/target_http/announcement.cpp
@@ -40,16 +40,15 @@
 parseAnnouncement(const std::string &Body) {
   const Json Document = Json::parse(Body, nullptr, /*allow_exceptions=*/false);
   if (!Document.is_object())
-    return AnnouncementError{"the body is not a JSON object"};
+    return AnnouncementError{"the body is no JSON object"};
   try {
     Announcement Result = fromJson(Document);
     if (Result.m_Service.value().empty())
-      return AnnouncementError{"service: must not be empty"};
+      return AnnouncementError{"service: is empty"};
     if (Result.m_Leaving)
       return Result;
     if (!http_server::parseListenAddress(Result.m_Address))
-      return AnnouncementError{
-          "address: must be a numeric IPv4 address and a port"};
+      return AnnouncementError{"address: is no numeric host:port"};
     if (Result.m_Slots == 0 || Result.m_Connections == 0)
       return AnnouncementError{"slots and connections: must be at least 1"};
     return Result;
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -151,7 +151,7 @@
     Warning = describeShortages(Shortages);
     if (!Shortages.empty() && !Common.m_Force)
       return failure(CliError::Refused,
-                     Warning + "\nuse --force to proceed anyway");
+                     Warning + "\nrepeat with --force to do it all the same");
   }
   CommandResult Result = commitAndWait(Common, Table, Current, Next,
                                        "failure domain '" + Name + "' " +
@@ -234,8 +234,7 @@
   if (const std::error_code Error = readCluster(Table, Current))
     return failure(Error);
   if (Current.m_Config.m_Version == ConfigVersion())
-    return failure(CliError::InvalidInput,
-                   "no manifest has been committed yet");
+    return failure(CliError::InvalidInput, "no manifest was committed yet");
   CommandResult Result;
   Result.m_Json = toDocument(Current.m_Config);
   Result.m_Text = Result.m_Json.dump(2);
--- a/src/cli/error.cpp
+++ b/src/cli/error.cpp
@@ -14,7 +14,7 @@
   std::string message(int Value) const override {
     switch (static_cast<CliError>(Value)) {
     case CliError::Usage:
-      return "invalid usage";
+      return "wrong usage";
     case CliError::InvalidInput:
       return "invalid input; nothing was changed";
     case CliError::Conflict:
@@ -29,8 +29,8 @@
     case CliError::NotInForce:
       return "committed, but not yet in force everywhere";
     case CliError::BadRow:
-      return "a row of the platform's table has an unknown format; nothing "
-             "was changed";
+      return "a row of the platform's table has an unknown shape; nothing was "
+             "changed";
     }
     return "unknown error";
   }
--- a/src/cli/remaining_capacity.cpp
+++ b/src/cli/remaining_capacity.cpp
@@ -80,11 +80,10 @@
   for (const Shortage &Found : Shortages) {
     if (!Result.empty())
       Result += "\n";
-    Result +=
-        "the remaining targets of service '" + Found.m_Service.value() +
-        "' may lack capacity for its load: " + std::to_string(Found.m_Demand) +
-        " open orders, " + std::to_string(Found.m_Remaining) +
-        " remaining slots";
+    Result += "the rest of service '" + Found.m_Service.value() +
+              "' may not bear its load: " + std::to_string(Found.m_Demand) +
+              " orders open, " + std::to_string(Found.m_Remaining) +
+              " slots remain";
   }
   return Result;
 }
--- a/src/cli/view_commands.cpp
+++ b/src/cli/view_commands.cpp
@@ -105,13 +105,13 @@
 
 std::string explainRoute(const ClusterRows &Rows, const ShardEntry &Entry) {
   if (Entry.m_Owner == SessionId())
-    return "no owner has been assigned yet";
+    return "no owner was assigned yet";
   const Member *Owner = findSession(Rows, Entry.m_Owner);
   if (Owner == nullptr)
-    return "the owner was lost; a new owner has yet to be assigned";
+    return "the owner was lost; an heir is about to be assigned";
   if (findSession(Rows, Entry.m_FormerOwner) != nullptr)
     return "handed over from " + ownerName(Rows, Entry.m_FormerOwner) +
-           ", which may still be completing requests";
+           ", which may still finish requests";
   return "assigned by the map";
 }
 
--- a/src/daemon/admin.cpp
+++ b/src/daemon/admin.cpp
@@ -40,9 +40,9 @@
     Promise->set_value(Evaluate(Subject, Now));
   }};
   if (!m_Shared.m_Inbox.tryPost(Item))
-    return errorResponse(503, "the event queue of the daemon is full");
+    return errorResponse(503, "the daemon is too busy");
   if (Answer.wait_for(AnswerTimeout) != std::future_status::ready)
-    return errorResponse(503, "no answer from the core thread within 2 s");
+    return errorResponse(503, "the daemon does not answer");
   const nlohmann::json Result = Answer.get();
   return {Result.contains("error") ? 404U : 200U, JsonType,
           Result.dump() + "\n"};
@@ -77,7 +77,7 @@
     return errorResponse(405, "use POST");
   Event Item = ShutdownRequested{.m_Exit = false};
   if (!m_Shared.m_Inbox.tryPost(Item))
-    return errorResponse(503, "the event queue of the daemon is full");
+    return errorResponse(503, "the daemon is too busy");
   return {202, JsonType, "{\"draining\":true}\n"};
 }
 
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -52,22 +52,21 @@
                           .Register(m_Registry)),
       m_OrderFamily(prometheus::BuildCounter()
                         .Name("balsamwheel_orders_total")
-                        .Help("Orders to the local target by result.")
+                        .Help("Orders to the local target by their end.")
                         .Register(m_Registry)),
       m_OrderLatency(prometheus::BuildHistogram()
                          .Name("balsamwheel_order_seconds")
-                         .Help("Time from sending an order to its end.")
+                         .Help("Time from an order to its answer.")
                          .Register(m_Registry)
                          .Add({}, LatencyBuckets)),
       m_ControlMessages(addCounter("balsamwheel_control_messages_total",
-                                   "Control messages sent to other daemons.")),
+                                   "Control messages sent to daemons.")),
       m_RequestMessages(addCounter("balsamwheel_request_messages_total",
-                                   "Request messages sent to other daemons.")),
-      m_BodyBytes(
-          addCounter("balsamwheel_body_bytes_total",
-                     "Bytes of streamed bodies sent to other daemons.")),
+                                   "Request messages sent to daemons.")),
+      m_BodyBytes(addCounter("balsamwheel_body_bytes_total",
+                             "Bytes of long bodies sent to daemons.")),
       m_Dropped(addCounter("balsamwheel_events_dropped_total",
-                           "Events dropped because the event queue was full.")),
+                           "Events refused because the inbox was full.")),
       m_Damaged(addCounter("balsamwheel_answers_damaged_total",
                            "Forwarded answers with a wrong length or hash.")),
       m_TableReads(addCounter("balsamwheel_table_reads_total",
@@ -76,20 +75,19 @@
                                 "Transactions on the platform's table.")),
       m_Queue(addGauge("balsamwheel_queue_depth",
                        "Requests waiting for a slot at the target.")),
-      m_Running(addGauge("balsamwheel_orders_running",
-                         "Orders running at the target.")),
+      m_Running(
+          addGauge("balsamwheel_orders_running", "Orders at the target.")),
       m_Limit(addGauge("balsamwheel_concurrency_limit",
-                       "Limit of concurrent orders at the target.")),
+                       "Orders admitted to the target at a time.")),
       m_Inbox(addGauge("balsamwheel_inbox_depth",
                        "Events waiting for the core thread.")),
-      m_Pipes(
-          addGauge("balsamwheel_body_pipes", "Streamed bodies in transit.")),
+      m_Pipes(addGauge("balsamwheel_body_pipes", "Long bodies on their way.")),
       m_OutcomesKept(addGauge("balsamwheel_outcomes_kept",
-                              "Stored outcomes of requests.")),
-      m_RequestsOpen(
-          addGauge("balsamwheel_requests_open", "Requests not yet answered.")),
+                              "Remembered outcomes of requests.")),
+      m_RequestsOpen(addGauge("balsamwheel_requests_open",
+                              "Requests without an answer yet.")),
       m_LeaseHeld(addGauge("balsamwheel_lease_held",
-                           "1 while the session holds its lease.")),
+                           "1 while the session's lease holds.")),
       m_LeaseExtended(addGauge("balsamwheel_lease_extended",
                                "1 while witnesses extend the lease.")),
       m_LeaseLeft(addGauge("balsamwheel_lease_left_seconds",
@@ -98,15 +96,15 @@
                                "Version of the configuration in force.")),
       m_MapVersion(
           addGauge("balsamwheel_map_version", "Version of the shard map.")),
-      m_Members(addGauge("balsamwheel_members", "Known live sessions.")),
+      m_Members(addGauge("balsamwheel_members", "Live sessions known.")),
       m_ShardsOwned(
           addGauge("balsamwheel_shards_owned", "Shards this session owns.")),
       m_ShardsPending(addGauge("balsamwheel_shards_pending",
-                               "Owned shards that wait for their handover.")),
+                               "Owned shards that wait for a handover.")),
       m_TargetLoad(addGauge("balsamwheel_target_reported_load",
-                            "Load reported by the target.")),
+                            "Load as the target reports it.")),
       m_TargetHealthy(addGauge("balsamwheel_target_reported_healthy",
-                               "1 while the target reports itself healthy.")) {
+                               "Health as the target reports it.")) {
   for (const OrderEnd End :
        {OrderEnd::Answered, OrderEnd::Shed, OrderEnd::NotSent, OrderEnd::Failed,
         OrderEnd::Aborted})
--- a/src/daemon/status_json.cpp
+++ b/src/daemon/status_json.cpp
@@ -104,8 +104,7 @@
     return unknownService(Service);
   if (!Known->m_DividedByKey)
     return {{"service", Service.value()},
-            {"reason", "the service is not divided by key; any candidate may "
-                       "serve the request"},
+            {"reason", "the service is not divided by key; any of these"},
             {"candidates", candidatesJson(Subject, Service)}};
   Json Result =
       routeFields(Subject, Subject.coordinator().route(Service, hashKey(Key)));
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -186,7 +186,7 @@
             status, fields, text = await web.call(
                 daemon.host, 7700, method, f"/{kind}/x", headers, body, timeout
             )
-        except (OSError, web.IncompleteMessage, asyncio.TimeoutError) as error:
+        except (OSError, web.Broken, asyncio.TimeoutError) as error:
             self.oracle.count(f"no answer: {type(error).__name__}")
             return None
         self.oracle.check_answer(request, unsafe, status, fields, text)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -75,7 +75,7 @@
             print("    " + "\n    ".join(fleet.oracle.violations))
         else:
             shutil.rmtree(folder)
-    print(f"{options.episodes} episodes, failed seeds: {failed_seeds or 'none'}")
+    print(f"{options.episodes} episodes, red: {failed_seeds or 'none'}")
     return 1 if failed_seeds else 0
 
 
--- a/tests/soak/target.py
+++ b/tests/soak/target.py
@@ -77,7 +77,7 @@
         if self.keyed:
             key = int(headers["x-shard-key"])
             if self.fence_of(key) is None:
-                self.fleet.oracle.count("reached a target that doesn't hold the key")
+                self.fleet.oracle.count("came to a target that doesn't hold the key")
                 return 421, not_executed, b""
         if len(self.running) >= 3 * SLOTS:
             return 503, not_executed, b""
@@ -134,7 +134,7 @@
                 json.dumps(body).encode(),
                 timeout=1.0,
             )
-        except (OSError, web.IncompleteMessage, asyncio.TimeoutError):
+        except (OSError, web.Broken, asyncio.TimeoutError):
             return self.drop_expired()
         if status != 200 or self.incarnation != incarnation:
             return self.drop_expired()
--- a/tests/soak/web.py
+++ b/tests/soak/web.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-class IncompleteMessage(Exception):
+class Broken(Exception):
     """The connection ended before the message did."""
 
 
@@ -16,7 +16,7 @@
     while True:
         field = await reader.readline()
         if not field:
-            raise IncompleteMessage("connection closed within the headers")
+            raise Broken("connection closed within the headers")
         if field == b"\r\n":
             break
         name, _, value = field.decode("latin-1").partition(":")
@@ -61,9 +61,7 @@
                 status, fields, text = reply
                 writer.write(encode(f"HTTP/1.1 {status} X", fields, text))
                 await writer.drain()
-        except (
-                IncompleteMessage, ConnectionError, asyncio.IncompleteReadError, ValueError
-            ):
+        except (Broken, ConnectionError, asyncio.IncompleteReadError, ValueError):
             return
         except asyncio.CancelledError:
             return  # The episode has ended.
@@ -76,7 +74,7 @@
 async def call(host, port, method, path, headers, body=b"", timeout=5.0):
     """Sends one request on a new connection: (status, headers, body).
 
-    Raises OSError if the connection fails, IncompleteMessage if the answer is
+    Raises OSError if the connection fails, Broken if the answer is
     incomplete, asyncio.TimeoutError if it takes longer than the time-out in
     seconds.
     """
@@ -88,11 +86,11 @@
             await writer.drain()
             message = await read_message(reader)
             if message is None:
-                raise IncompleteMessage("connection closed without an answer")
+                raise Broken("connection closed without an answer")
             line, fields, text = message
             return int(line.split(" ")[1]), fields, text
         except (ConnectionError, asyncio.IncompleteReadError, ValueError) as error:
-            raise IncompleteMessage(str(error)) from error
+            raise Broken(str(error)) from error
         finally:
             writer.close()
 
