--- a/include/balsamwheel/detail/keyspace/hold_ledger.h
+++ b/include/balsamwheel/detail/keyspace/hold_ledger.h
@@ -27,12 +27,12 @@
 /// Maximum time after a revocation for which the revoked owner may still hold
 /// its keys: a daemon that has not seen the revocation grants keys for up to
 /// \p MaxMapAge after its last check of the map, and the last grant is valid
-/// for a hold time on the slowest permitted clock.
+/// for a hold time on the slowest permitted clock. The result includes twice
+/// m_Margin.
 Duration revocationWait(const HoldOptions &Holds, Duration MaxMapAge);
 
-/// Keys that a target reports to hold. Both ends belong to the span, here and
-/// below.
-
+/// Keys that a target reports that it holds. The spans here and below include
+/// both ends.
 struct HeldSpan {
   KeyIndex m_First = 0;
   KeyIndex m_Last = 0;
--- a/include/balsamwheel/detail/keyspace/key_planner.h
+++ b/include/balsamwheel/detail/keyspace/key_planner.h
@@ -17,8 +17,8 @@
 /// range is typically 60 to 200 keys long.
 inline constexpr std::size_t KeySliceCount = 1024;
 inline constexpr std::uint32_t KeysPerSlice = KeyCount / KeySliceCount;
-/// Load of the keys of each slice: slot time per second, i.e. the mean number
-/// of busy slots.
+/// Load of the keys of each slice, all in the same unit; the router measures
+/// requests per second.
 using SliceLoads = std::array<float, KeySliceCount>;
 
 enum class TargetCondition : std::uint8_t {
@@ -62,11 +62,14 @@
   /// Returns the next state of the map; equal to \p Map when there is nothing
   /// to do.
   ///
-  /// Rules, in order: the keys of lost owners are revoked; revoked keys become
-  /// free when the revocation wait is over; leaving owners release their keys
-  /// to next owners; free keys go to the target with the least load relative to
-  /// its capacity; if no other change is pending and the loads differ too much
-  /// from the fair share, the most loaded targets release their hottest keys.
+  /// Rules, in order: the keys of ended owners become free; the keys of lost
+  /// owners are revoked; a release is cancelled if the next owner can't get
+  /// keys any more; revoked keys become free when the revocation wait is over,
+  /// or return to their owner if it is reachable again before; leaving owners
+  /// release their keys to next owners; free keys go to the target with the
+  /// least load relative to its capacity; if no other change is pending and the
+  /// loads differ too much from the fair share, the most loaded targets release
+  /// their hottest keys.
   ///
   /// Complexity: linear in the spans, plus slices times candidates.
   KeyMap plan(const KeyMap &Map, const std::vector<KeyCandidate> &Candidates,
@@ -92,9 +95,9 @@
 /// a restart of the target proves that the earlier incarnation has ended.
 KeyMap adoptEarlierIncarnations(const KeyMap &Map, const KeyOwner &Present);
 
-/// Applies that \p Owner has released the keys in [First, Last] with handover
-/// token \p Token: releasing spans pass to their next owners, revoked spans
-/// become free.
+/// Records in the map that \p Owner has released the keys in [First, Last] with
+/// handover token \p Token: releasing spans pass to their next owners, revoked
+/// spans become free.
 KeyMap completeRelease(const KeyMap &Map, const KeyOwner &Owner, KeyIndex First,
                        KeyIndex Last, const std::string &Token);
 
--- a/include/balsamwheel/detail/load/picker.h
+++ b/include/balsamwheel/detail/load/picker.h
@@ -39,7 +39,7 @@
   Picker(Picker &&) noexcept;
   Picker &operator=(Picker &&) noexcept;
 
-  /// Picks a candidate, and one outside \p Avoid if there is any.
+  /// Picks a candidate; one outside \p Avoid is preferred.
   ///
   /// \returns std::nullopt when \p Candidates is empty.
   std::optional<SessionId> pick(std::span<const SessionId> Candidates,
--- a/include/balsamwheel/detail/load/request_gate.h
+++ b/include/balsamwheel/detail/load/request_gate.h
@@ -150,11 +150,11 @@
   /// Whether \p Left is to be sent before \p Right.
   bool precedes(const Waiting &Left, const Waiting &Right, TimePoint Now) const;
   Duration expectedWait(std::size_t Ahead, TimePoint Now) const;
-  bool takePermit(TimePoint Now);
+  bool takeToken(TimePoint Now);
   bool hasNonNestedWaiting() const;
   /// Updates m_StartGap at the start of a request from the queue.
   void recordStart(TimePoint Now);
-  double availablePermits(TimePoint Now) const;
+  double availableTokens(TimePoint Now) const;
 
   RequestGateOptions m_Options;
   std::uint32_t m_Slots = 0;
@@ -174,9 +174,9 @@
   bool m_Backlogged = false;
   double m_Rate = 0;
   TimePoint m_RateUntil;
-  /// Tokens in the bucket at m_PermitsAt; at most m_ColdBurst.
-  double m_Permits = 0;
-  TimePoint m_PermitsAt;
+  /// Tokens in the bucket at m_TokensAt; at most m_ColdBurst.
+  double m_Tokens = 0;
+  TimePoint m_TokensAt;
 };
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/routing/route_table.h
+++ b/include/balsamwheel/detail/routing/route_table.h
@@ -40,7 +40,8 @@
   Duration m_Timeout{0};
   /// Latency that answers should not exceed.
   Duration m_LatencyObjective{0};
-  /// Maximum number of targets to which one attempt of a caller may be sent.
+  /// Maximum number of attempts at targets for one request of a caller, the
+  /// first one included.
   std::uint32_t m_MaxAttempts = 1;
   /// 0 is the most urgent.
   std::uint32_t m_Priority = 0;
--- a/src/keyspace/key_planner.cpp
+++ b/src/keyspace/key_planner.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-/// Load that is added to the measured load of each key, in busy slots: keeps
-/// the keys evenly distributed when no load has been measured yet.
+/// Load that is added to the measured load of each key, in the unit of that
+/// load; 1 over all keys. Keeps the keys evenly distributed when no load has
+/// been measured yet.
 constexpr double BaseLoadPerKey = 1.0 / KeyCount;
 /// Granularity of moves, in keys.
 constexpr std::uint32_t StepKeys = 16;
 /// Maximum number of planned moves that one plan starts.
 constexpr int MaxMovesPerPlan = 6;
-/// No span is split off from an owner with this many: the grants of all its
-/// spans have to fit into the answer to a heartbeat.
+/// No span is split off from an owner with this many spans: the grants of all
+/// its spans have to fit into the answer to a heartbeat.
 constexpr std::size_t MaxSpansPerOwner = 60;
 
-/// Maximum load of a slice for planning, in fair shares per unit of capacity:
-/// the load of a single key beyond it can't be served, whichever target owns
-/// the slice.
+/// Maximum load of a slice for planning, as a multiple of the fair share (the
+/// load per unit of capacity): the load of a single key beyond it can't be
+/// served, whichever target owns the slice.
 constexpr double MaxSliceFairShares = 1.5;
 /// Iterations in which the fair share and the cap of the slices, which depend
 /// on each other, converge.
@@ -177,7 +178,7 @@
     }
   }
 
-  /// Whether any keys are not simply owned.
+  /// Whether any keys are free, being released or revoked.
   bool hasPendingChanges() const {
     return std::any_of(
         m_Map.spans().begin(), m_Map.spans().end(),
--- a/src/link/peer_link.cpp
+++ b/src/link/peer_link.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
-/// Size of the lengths of frame and body: 32 bits each, little endian.
+/// Size in bytes of the two lengths, of frame and body, that precede a frame:
+/// 32 bits each, little endian.
 constexpr std::size_t LengthsSize = 8;
 /// Size of a link's send buffer in the kernel. Further output waits in this
 /// process, where small frames of other links can overtake it.
 constexpr int SendBufferBytes = 32768;
-/// An empty input buffer with a larger capacity in bytes is released.
+/// Maximum capacity of an empty input buffer, in bytes; a larger one is
+/// released.
 constexpr std::size_t MaxRetainedInput = 4096;
 
 std::uint32_t readLength(const char *Source) {
--- a/src/load/request_gate.cpp
+++ b/src/load/request_gate.cpp
@@ -31,8 +31,8 @@
 
 void RequestGate::limitRate(double Rate, TimePoint Until, TimePoint Now) {
   if (rateLimit(Now) == 0) {
-    m_Permits = m_Options.m_ColdBurst;
-    m_PermitsAt = Now;
+    m_Tokens = m_Options.m_ColdBurst;
+    m_TokensAt = Now;
   }
   m_Rate = Rate;
   m_RateUntil = Until;
@@ -42,19 +42,19 @@
   return Now < m_RateUntil ? m_Rate : 0;
 }
 
-double RequestGate::availablePermits(TimePoint Now) const {
+double RequestGate::availableTokens(TimePoint Now) const {
   return std::min(m_Options.m_ColdBurst,
-                  m_Permits + m_Rate * micros(Now - m_PermitsAt) / 1e6);
+                  m_Tokens + m_Rate * micros(Now - m_TokensAt) / 1e6);
 }
 
-bool RequestGate::takePermit(TimePoint Now) {
+bool RequestGate::takeToken(TimePoint Now) {
   if (rateLimit(Now) == 0)
     return true;
-  const double Permits = availablePermits(Now);
-  if (Permits < 1)
+  const double Tokens = availableTokens(Now);
+  if (Tokens < 1)
     return false;
-  m_Permits = Permits - 1;
-  m_PermitsAt = Now;
+  m_Tokens = Tokens - 1;
+  m_TokensAt = Now;
   return true;
 }
 
@@ -126,7 +126,7 @@
     Wait = std::max(Wait, m_StartGap * static_cast<double>(Ahead + 1));
   if (const double Rate = rateLimit(Now); Rate > 0) {
     const double Missing =
-        static_cast<double>(Ahead) + 1 - availablePermits(Now);
+        static_cast<double>(Ahead) + 1 - availableTokens(Now);
     Wait = std::max(Wait, Missing / Rate * 1e6);
   }
   return fromMicros(Wait);
@@ -156,7 +156,7 @@
   if (!isOpen() || cannotMeetDeadline(Request, Now))
     return refusal(meanService());
   const Waiting Offered{.m_Request = Request, .m_Sequence = m_NextSequence++};
-  if (m_Waiting.empty() && m_Running < m_Slots && takePermit(Now)) {
+  if (m_Waiting.empty() && m_Running < m_Slots && takeToken(Now)) {
     ++m_Running;
     return {.m_Verdict = GateVerdict::Send};
   }
@@ -180,7 +180,7 @@
                                [&](const Waiting &Left, const Waiting &Right) {
                                  return precedes(Left, Right, Now);
                                });
-  if (!takePermit(Now))
+  if (!takeToken(Now))
     return std::nullopt;
   const RequestHandle Result = Best->m_Request.m_Handle;
   const bool Nested = Best->m_Request.m_Nested;
@@ -236,9 +236,10 @@
   if (m_Waiting.empty())
     return std::nullopt;
   const double Rate = rateLimit(Now);
+  // The wake-up is at least 1000 microseconds away.
   if (Rate > 0 && m_Running < m_Slots)
-    return Now + fromMicros(std::max(1000.0,
-                                     (1 - availablePermits(Now)) / Rate * 1e6));
+    return Now + fromMicros(
+                     std::max(1000.0, (1 - availableTokens(Now)) / Rate * 1e6));
   return std::nullopt;
 }
 
--- a/src/load/target_record.h
+++ b/src/load/target_record.h
@@ -22,7 +22,8 @@
   /// Expected cost of sending one more request; lower is better. The latency is
   /// taken to be at least the age of the oldest unanswered request.
   ///
-  /// \param Unknown latency assumed before the first sample, in microseconds.
+  /// \param DefaultLatency latency assumed before the first sample, in
+  /// microseconds.
   double cost(TimePoint Now, double DefaultLatency) const;
   /// Moving average of the latency in microseconds; 0 if unknown. At least the
   /// median age of the unanswered requests.
--- a/src/load/target_selector.cpp
+++ b/src/load/target_selector.cpp
@@ -37,9 +37,9 @@
   if (Found == m_Entries.end())
     return;
   Entry &Known = Found->second;
-  const double Share = failureRate(Known, Now);
+  const double Rate = failureRate(Known, Now);
   Known.m_FailureRate =
-      Share + m_Options.m_FailureWeight * ((Failed ? 1.0 : 0.0) - Share);
+      Rate + m_Options.m_FailureWeight * ((Failed ? 1.0 : 0.0) - Rate);
   Known.m_FailureRateAt = Now;
 }
 
--- a/src/router/entrance.cpp
+++ b/src/router/entrance.cpp
@@ -12,7 +12,7 @@
 /// Requests aren't held for an owner whose daemon has been unreachable for
 /// longer.
 constexpr Duration MaxOwnerOutage = std::chrono::milliseconds(700);
-/// Status for callers whose request failed without proof that it hasn't run.
+/// Statuses for callers whose request failed without proof that it hasn't run.
 constexpr unsigned BadGateway = 502;
 constexpr unsigned GatewayTimeout = 504;
 
@@ -66,7 +66,7 @@
       Matched, std::hash<std::string>()(Entry.m_Metadata.m_Id) ^ m_Random());
   const Duration TimeLeft =
       Entry.m_Metadata.m_DeadlineLeft.value_or(Matched.m_Timeout);
-  Duration &Longest = m_LongestDeadlines[Matched.m_Name];
+  Duration &Longest = m_LongestTimeLeft[Matched.m_Name];
   Longest = std::max(Longest, TimeLeft);
   Entry.m_Deadline = Entry.m_ReceivedAt + std::min(TimeLeft, Matched.m_Timeout);
   Entry.m_Objective =
@@ -92,8 +92,9 @@
   case SpanState::Free:
     return std::nullopt;
   case SpanState::Releasing:
-    // The owner serves until its next heartbeat; once it has refused the
-    // request, the next owner holds it until the keys are granted.
+    // The owner serves until its next heartbeat. Once it has refused the
+    // request, the request is forwarded to the next owner and waits there until
+    // the keys are granted.
     return Entry.m_Excluded.contains(Owner) ? Span.m_NextOwner.m_Instance
                                             : Owner;
   case SpanState::Owned:
--- a/src/router/entrance.h
+++ b/src/router/entrance.h
@@ -32,7 +32,8 @@
 };
 
 struct EntranceOptions {
-  /// Maximum number of gates that one request is forwarded to after refusals.
+  /// A refused request is forwarded to another instance at once only while it
+  /// has been forwarded fewer times than this, retries included.
   int m_MaxForwards = 3;
   /// Delay before the owner of a key is looked up again.
   Duration m_OwnerRetryDelay = std::chrono::milliseconds(60);
@@ -44,8 +45,8 @@
   double m_MinRetryTimeRatio = 0.6;
   /// Retry-After for callers when no better estimate is known.
   Duration m_DefaultRetryAfter = std::chrono::milliseconds(300);
-  /// Retry-After is extended by a random part of up to this ratio, so that
-  /// callers don't return all at once.
+  /// Retry-After is extended by a random amount of up to this fraction of it,
+  /// so that callers don't return all at once.
   double m_RetryAfterSpread = 0.3;
   RetryBudgetOptions m_Retries;
 };
@@ -87,6 +88,7 @@
     EventLoop::TimerId m_OwnerRetryTimer;
     /// Instance that the request was last forwarded to.
     InstanceName m_Destination;
+    /// Stream of the attempt at a peer; 0 when there is none.
     std::uint64_t m_Stream = 0;
     TargetAgent::JobId m_Job;
     /// Attempts that may have reached a target.
@@ -141,10 +143,10 @@
   bool m_RefuseNew = false;
   Id m_LastId = 0;
   std::map<Id, ActiveRequest> m_Active;
-  /// Longest deadline that callers have given on each route, taken as the time
-  /// that a first attempt has. The difference to a shorter one is the time that
-  /// the caller has already waited.
-  std::map<std::string, Duration> m_LongestDeadlines;
+  /// Longest time until the deadline that callers have given on each route,
+  /// taken as that of a first attempt. If a request has less time left, the
+  /// difference is the time for which its caller has already waited.
+  std::map<std::string, Duration> m_LongestTimeLeft;
 };
 
 } // namespace balsamwheel
--- a/src/router/event_log.h
+++ b/src/router/event_log.h
@@ -19,6 +19,7 @@
   explicit LogLine(std::string_view Event);
   LogLine &add(std::string_view Field, std::string_view Value);
   LogLine &add(std::string_view Field, std::int64_t Value);
+  /// Adds a duration in microseconds; "_us" is appended to the field's name.
   LogLine &add(std::string_view Field, Duration Value);
   const std::string &event() const { return m_Event; }
   /// The line as JSON, with the wall clock and boot time.
--- a/src/router/exchange_format.h
+++ b/src/router/exchange_format.h
@@ -19,7 +19,7 @@
   std::string m_Id;
   /// Id of the request that a target was running when it sent this one.
   std::optional<std::string> m_ParentId;
-  /// How long the caller will wait; none when it doesn't say.
+  /// Time until the caller's deadline; none when the caller gave none.
   std::optional<Duration> m_DeadlineLeft;
   std::optional<KeyIndex> m_Key;
   std::string m_Host;
@@ -32,7 +32,7 @@
   std::string m_TargetId;
 };
 
-/// How an answer of a target is to be understood.
+/// What an answer of a target says about the request.
 enum class TargetAnswerKind : std::uint8_t {
   /// The request ran; the answer is the target's.
   Ran,
@@ -56,7 +56,7 @@
   /// Sets the headers that are meant for one target.
   virtual void addTargetMetadata(HttpRequest &Request,
                                  const TargetMetadata &Metadata) const = 0;
-  /// Tells from an answer whether the request ran.
+  /// Determines from an answer whether the request ran.
   virtual TargetAnswerKind classify(const HttpAnswer &Answer) const = 0;
   /// Name of the header that carries the request id in requests and answers.
   virtual const std::string &idHeader() const = 0;
--- a/src/router/key_coordinator.h
+++ b/src/router/key_coordinator.h
@@ -30,10 +30,10 @@
   Duration m_CheckInterval = std::chrono::milliseconds(1500);
   /// Delay before a failed commit or check is repeated.
   Duration m_CheckRetryDelay = std::chrono::milliseconds(300);
-  /// Interval at which due commits and checks are looked for.
+  /// Interval at which update() is called.
   Duration m_PlanInterval = std::chrono::milliseconds(500);
-  /// Time after the start of the daemon in which it doesn't plan, so that it
-  /// learns of the other targets first.
+  /// Time after the creation of the coordinator in which it doesn't plan, so
+  /// that the daemon learns of the other targets first.
   Duration m_StartupDelay = std::chrono::seconds(2);
   KeyPlannerOptions m_Planner;
 };
--- a/src/router/peer_mesh.cpp
+++ b/src/router/peer_mesh.cpp
@@ -11,7 +11,8 @@
 /// Interval at which connections are checked and reconnections attempted.
 constexpr Duration CheckInterval = std::chrono::milliseconds(100);
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(800);
-/// A peer that has this many unread bytes gets no reports until it catches up.
+/// A peer whose connection has this many unsent bytes gets no reports until
+/// they have been sent.
 constexpr std::size_t MaxPendingBytesForReport = std::size_t{256} << 10;
 
 } // namespace
@@ -215,8 +216,9 @@
     return;
   m_Loop.destroyLater(std::move(Node.mapped().m_Link));
   m_Events.m_OnInboundClosed(LinkId);
-  std::erase_if(m_LargeAnswers,
-                [&](const LargeAnswer &Each) { return Each.m_Link == LinkId; });
+  std::erase_if(m_LargeAnswers, [&](const LargeAnswer &Each) {
+    return Each.m_LinkId == LinkId;
+  });
   if (m_LargeAnswerLink != LinkId)
     return;
   m_LargeAnswerLink = 0;
@@ -226,7 +228,7 @@
 void PeerMesh::answerLarge(std::uint64_t LinkId, const LinkFrame &Frame,
                            std::string_view Body) {
   m_LargeAnswers.push_back(
-      {.m_Link = LinkId, .m_Text = encodeFrame(Frame, Body)});
+      {.m_LinkId = LinkId, .m_Text = encodeFrame(Frame, Body)});
   sendNextLarge();
 }
 
@@ -234,12 +236,12 @@
   while (m_LargeAnswerLink == 0 && !m_LargeAnswers.empty()) {
     const LargeAnswer Next = std::move(m_LargeAnswers.front());
     m_LargeAnswers.pop_front();
-    auto Found = m_Inbound.find(Next.m_Link);
+    auto Found = m_Inbound.find(Next.m_LinkId);
     if (Found == m_Inbound.end())
       continue;
     Found->second.m_Link->sendEncoded(Next.m_Text);
     if (Found->second.m_Link->pendingBytes() > 0)
-      m_LargeAnswerLink = Next.m_Link;
+      m_LargeAnswerLink = Next.m_LinkId;
   }
 }
 
@@ -350,7 +352,7 @@
     Found->second.m_Link->send(Frame, Body);
 }
 
-std::size_t PeerMesh::pendingAnswers() const {
+std::size_t PeerMesh::pendingAnswerBytes() const {
   std::size_t Sum = 0;
   for (const LargeAnswer &Each : m_LargeAnswers)
     Sum += Each.m_Text.size();
--- a/src/router/peer_mesh.h
+++ b/src/router/peer_mesh.h
@@ -28,10 +28,11 @@
 };
 
 struct PeerMeshOptions {
-  /// Interval between two reports to all peers, before the part for each peer.
+  /// Interval between two reports to all peers, without the additional time for
+  /// each peer.
   Duration m_ReportInterval = std::chrono::milliseconds(250);
-  /// Added to the interval for each peer, so that the cost of reports doesn't
-  /// grow with the size of the mesh.
+  /// Added to the interval for each peer, so that the number of reports that a
+  /// daemon sends per second stays bounded as the mesh grows.
   Duration m_ReportIntervalPerPeer = std::chrono::milliseconds(6);
   /// A connection that has been silent for this many report intervals is
   /// closed.
@@ -49,7 +50,7 @@
   std::function<void(std::uint64_t LinkId, LinkFrame &, std::string Body)>
       m_OnRequest;
   std::function<void(std::uint64_t LinkId, std::uint64_t Stream)> m_OnCancel;
-  /// A peer's connection has ended: its requests are cancelled.
+  /// A peer's connection has ended: its requests are to be cancelled.
   std::function<void(std::uint64_t LinkId)> m_OnInboundClosed;
   std::function<void(const InstanceName &, const LinkFrame &)> m_OnReport;
   std::function<void(const LinkFrame &Rows)> m_OnRows;
@@ -102,7 +103,7 @@
                  const std::optional<LinkFrame> &ForService);
   void requestRows(const InstanceName &Peer, const LinkFrame &Wanted);
   /// Bytes of answers that haven't been written to their connections yet.
-  std::size_t pendingAnswers() const;
+  std::size_t pendingAnswerBytes() const;
   /// Interval at which broadcast() is to be called.
   Duration reportInterval() const;
 
@@ -164,7 +165,8 @@
   std::map<InstanceName, Peer> m_Peers;
   std::map<std::uint64_t, InboundPeer> m_Inbound;
   struct LargeAnswer {
-    std::uint64_t m_Link;
+    std::uint64_t m_LinkId;
+    /// The encoded frame and body.
     std::string m_Text;
   };
   std::deque<LargeAnswer> m_LargeAnswers;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -25,7 +25,7 @@
 /// Callers' connections may take the number of file descriptors divided by
 /// this; peers, the target and the table need the rest.
 constexpr std::size_t CallerHandlesDivisor = 2;
-/// Ratio of the machine's link bandwidth that reading changed rows may take.
+/// Fraction of the machine's link bandwidth that reading changed rows may take.
 /// The rest is for requests, and for rows that other daemons fetch from this
 /// one.
 constexpr double RowsLinkRatio = 0.25;
@@ -171,7 +171,7 @@
   }
   const bool Idle = m_Entrance.active() == 0 && m_Agent.jobs() == 0 &&
                     m_Callers.pendingBytes() == 0 &&
-                    m_Mesh.pendingAnswers() == 0;
+                    m_Mesh.pendingAnswerBytes() == 0;
   if (!Idle)
     m_IdleSince = m_Loop.now();
   return (Since > StopAcceptPeriod &&
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -83,7 +83,8 @@
   /// Whether a peer is up and reports that it can reach the platform's table.
   bool reachesTable(const InstanceName &Peer) const;
   bool isKeyPlanner() const;
-  /// Whether this daemon is one of the few that watch the own table.
+  /// Whether this daemon is one of the few that watch the daemons' own
+  /// table.
   bool isWatcher() const;
   std::vector<TargetSelector::Candidate>
   candidates(const ServiceName &Service) const;
--- a/src/router/router_keys.cpp
+++ b/src/router/router_keys.cpp
@@ -1,5 +1,5 @@
-// What a router knows of the targets of its own service: input of the key
-// planner.
+// Input of the key planner: condition, capacity and load of the targets of this
+// router's service.
 #include "router.h"
 #include "unreported_owner.h"
 
--- a/src/router/router_settings.h
+++ b/src/router/router_settings.h
@@ -29,6 +29,7 @@
   /// Address at which other daemons reach this one, if it differs from the
   /// listening address.
   std::optional<Endpoint> m_Advertised;
+  /// Serves the metrics; none means that they aren't served.
   std::optional<Endpoint> m_Metrics;
   /// Address of the platform's table.
   Endpoint m_Table;
--- a/src/router/row_catch_up.h
+++ b/src/router/row_catch_up.h
@@ -29,8 +29,8 @@
   Duration m_AnswerTimeout = std::chrono::milliseconds(1000);
 };
 
-/// No side effects; not thread-safe. Invariant: at most one request is
-/// outstanding.
+/// Performs no I/O and reads no clock; not thread-safe. Invariant: at most one
+/// request is outstanding.
 class RowCatchUp {
 public:
   explicit RowCatchUp(RowCatchUpOptions Options = {}) : m_Options(Options) {}
--- a/src/router/table_follower.cpp
+++ b/src/router/table_follower.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Shorter delays are skipped.
+/// Shorter pauses between two watches are skipped.
 constexpr Duration MinPause = std::chrono::milliseconds(20);
 
 const char *nameOf(TableName Table) {
--- a/src/router/target_agent.cpp
+++ b/src/router/target_agent.cpp
@@ -33,7 +33,7 @@
                          TargetAgentOptions Options)
     : m_Loop(Loop), m_Log(Log), m_Settings(Settings), m_Format(Format),
       m_Options(Options), m_StartedAt(Loop.now()), m_Gate(Options.m_Gate),
-      m_Link({.m_BytesPerSecond = Settings.m_LinkBytesPerSecond}) {}
+      m_LinkBudget({.m_BytesPerSecond = Settings.m_LinkBytesPerSecond}) {}
 
 std::optional<KeyOwner> TargetAgent::owner() const {
   if (!m_Target)
@@ -124,7 +124,7 @@
     finish(Each, {.m_Outcome = Outcome::NotRun, .m_Reason = Why});
 }
 
-void TargetAgent::scheduleShut(Duration Limit, Reason Why) {
+void TargetAgent::scheduleClose(Duration Limit, Reason Why) {
   m_Loop.cancel(m_CloseTimer);
   // Keys need time to be handed over; requests without a key can go to other
   // instances immediately.
@@ -144,7 +144,7 @@
                   .add("target", m_Target ? m_Target->m_Id : "")
                   .add("why", Why)
                   .add("waiting", static_cast<std::int64_t>(m_Gate.waiting())));
-  scheduleShut(m_Settings.m_DrainLimit, Reason::Draining);
+  scheduleClose(m_Settings.m_DrainLimit, Reason::Draining);
 }
 
 void TargetAgent::refuseNew() {
@@ -162,7 +162,7 @@
               LogLine(Evacuated ? "domain_out" : "domain_in")
                   .add("domain", m_Settings.m_Domain.value()));
   if (Evacuated) {
-    scheduleShut(m_Settings.m_EvacuationLimit, Reason::DomainOut);
+    scheduleClose(m_Settings.m_EvacuationLimit, Reason::DomainOut);
   } else if (!m_Leaving) {
     m_Loop.cancel(m_CloseTimer);
     openGate();
@@ -195,7 +195,7 @@
           .m_Slots = leaving() || m_Stopping ? 0 : m_Gate.slots(),
           .m_Service = m_Gate.meanService(),
           .m_RateLimit = m_Gate.rateLimit(m_Loop.now()),
-          .m_LinkWait = m_Link.wait(m_Loop.now())};
+          .m_LinkWait = m_LinkBudget.wait(m_Loop.now())};
 }
 
 double TargetAgent::capacity() const {
@@ -243,10 +243,10 @@
   }
   const TimePoint Now = m_Loop.now();
   if (Added.m_Job.m_LargeOverLink &&
-      !m_Link.reserve(Added.m_Job.m_Objective - Now, Now)) {
+      !m_LinkBudget.reserve(Added.m_Job.m_Objective - Now, Now)) {
     finish(Id, {.m_Outcome = Outcome::Wait,
                 .m_Reason = Reason::Overloaded,
-                .m_RetryAfter = m_Link.wait(Now) / 2});
+                .m_RetryAfter = m_LinkBudget.wait(Now) / 2});
     return Id;
   }
   offer(Id);
@@ -359,7 +359,7 @@
       JobResult.m_Answer = std::move(Result.m_Answer);
       Served = JobResult.m_Answer.m_Status < 500;
       if (Entry.m_Job.m_LargeOverLink && Served)
-        m_Link.sent(JobResult.m_Answer.m_Body.size());
+        m_LinkBudget.sent(JobResult.m_Answer.m_Body.size());
       break;
     case TargetAnswerKind::Shed:
       JobResult.m_Outcome = Outcome::Wait;
--- a/src/router/target_agent.h
+++ b/src/router/target_agent.h
@@ -96,8 +96,8 @@
   /// \returns false for a late heartbeat or one of an earlier incarnation.
   bool onHeartbeat(const TargetHeartbeat &Heartbeat);
   /// Sets the target's service as the current configuration describes it; null
-  /// while it isn't known. Nothing is sent before, since the rate limit of a
-  /// cold target is part of it.
+  /// while it isn't known. The gate isn't opened before it is known, since it
+  /// contains the rate limit of a cold target.
   void setService(const ServiceSpec *Spec);
   /// The target leaves: it gets no keys from now on and soon no requests.
   void leave(const char *Why);
@@ -152,7 +152,9 @@
   void openGate();
   void limitColdRate();
   void closeGate(Reason Why);
-  void scheduleShut(Duration Limit, Reason Why);
+  /// Closes the gate at once or, if the target may hold keys, m_DrainMargin
+  /// before \p Limit has passed.
+  void scheduleClose(Duration Limit, Reason Why);
   /// How long a request may wait for a key that is to be granted.
   Duration grantWaitLimit(const TargetJob &Entry) const;
   void offer(JobId Id);
@@ -171,21 +173,22 @@
   TargetAgentOptions m_Options;
   TimePoint m_StartedAt;
   RequestGate m_Gate;
-  LinkBudget m_Link;
+  LinkBudget m_LinkBudget;
   std::optional<TargetIncarnation> m_Target;
   std::optional<HoldLedger> m_Ledger;
   std::unique_ptr<HttpClient> m_Client;
   std::uint64_t m_LastSequence = 0;
   std::uint32_t m_Slots = 0;
   TimePoint m_LastHeartbeat;
-  /// End of the cold start as reported by the target.
+  /// End of the cold start as reported by the target, plus one heartbeat
+  /// interval.
   TimePoint m_ColdUntil;
   std::optional<ServiceSpec> m_ServiceSpec;
   bool m_Leaving = false;
   bool m_Evacuated = false;
   bool m_Stopping = false;
   bool m_RefuseNew = false;
-  /// Shuts the gate a limited time after the target began to leave.
+  /// Closes the gate a limited time after the target began to leave.
   EventLoop::TimerId m_CloseTimer;
   EventLoop::TimerId m_SendTimer;
   EventLoop::TimerId m_ExpireTimer;
--- a/src/router/unreported_owner.h
+++ b/src/router/unreported_owner.h
@@ -24,9 +24,10 @@
 /// How long an unreachable owner of keys is assumed to be restarting.
 inline constexpr Duration OwnerLossTimeout = std::chrono::milliseconds(2500);
 
-/// Derives the condition of the owner: lost if its keys are to be revoked,
-/// which waits until their hold has expired; ended if nothing holds them any
-/// more; otherwise it keeps them, since its instance is expected to adopt them.
+/// Derives the condition of the owner. Lost: its keys are to be revoked, and
+/// become free when its hold has expired. Ended: no target holds its keys any
+/// more. NoNewKeys: it keeps its keys, since the next target of its instance is
+/// expected to adopt them.
 inline TargetCondition conditionOf(const UnreportedOwner &Owner) {
   if (Owner.m_Reachable && Owner.m_ServesOtherService)
     return TargetCondition::Lost;
