--- a/include/balsamwheel/detail/load/link_delay.h
+++ b/include/balsamwheel/detail/load/link_delay.h
@@ -1,8 +1,9 @@
 // Estimates how long the frames of a peer were delayed on the network.
 //
 // Load pattern: large answers saturate a machine's link, and requests sent from
-// that machine wait behind them, for seconds at worst. If their time limits
-// were counted from arrival, they would end after the callers have left.
+// that machine wait behind them, for seconds at worst. If the time
+// left to their deadlines were counted from arrival, they would run after the
+// callers have left.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
--- a/src/router/entrance.h
+++ b/src/router/entrance.h
@@ -39,9 +39,9 @@
   Duration m_OwnerRetryDelay = std::chrono::milliseconds(60);
   /// Maximum number of repeated owner lookups for one request.
   int m_MaxOwnerLookups = 4;
-  /// Time that must be left before the deadline for a retry, as a ratio of the
-  /// expected completion time. Below 1, because that is a mean over all routes,
-  /// well above the time of a fast one.
+  /// Time that must be left before the deadline for a retry, as a fraction of
+  /// the expected completion time. Below 1, because that is a mean over all
+  /// routes, well above the time of a fast one.
   double m_MinRetryTimeRatio = 0.6;
   /// Retry-After for callers when no better estimate is known.
   Duration m_DefaultRetryAfter = std::chrono::milliseconds(300);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -1,4 +1,4 @@
-// Construction of a router process, its stop, and its handling of table rows.
+// Construction and stop of the daemon's router, and its handling of table rows.
 #include "router.h"
 
 #include <nlohmann/json.hpp>
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,5 +1,5 @@
-// Router process of one instance: connects the entrance, the target agent, the
-// key coordinator, the tables and the peers on one event loop.
+// Main object of the daemon of one instance: connects the entrance, the target
+// agent, the key coordinator, the tables and the peers on one event loop.
 #pragma once
 
 #include "entrance.h"
--- a/src/router/router_metrics.h
+++ b/src/router/router_metrics.h
@@ -1,4 +1,4 @@
-// Counters and latency histograms of a router process.
+// Counters and latency histograms of a daemon.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
--- a/src/router/router_settings.h
+++ b/src/router/router_settings.h
@@ -1,4 +1,4 @@
-// Settings of a router process, read by an adapter.
+// Settings of a daemon, read by an adapter.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
