--- a/include/balsamwheel/detail/load/link_delay.h
+++ b/include/balsamwheel/detail/load/link_delay.h
@@ -1,9 +1,9 @@
 // Estimates how long the frames of a peer were delayed on the network.
 //
 // Load pattern: large answers saturate a machine's link, and requests sent from
-// that machine wait behind them, for seconds at worst. If the time
-// left to their deadlines were counted from arrival, they would run after the
-// callers have left.
+// that machine wait behind them, for seconds at worst. If the time left
+// until their deadlines were counted from arrival, they would still run after
+// their callers have left.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
