--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,5 +1,5 @@
-// Router process of one instance: connects the entrance, the target agent, the
-// key coordinator, the tables and the peers on one event loop.
+// Main object of the daemon of one instance: connects the entrance, the target
+// agent, the key coordinator, the tables and the peers on one event loop.
 #pragma once
 
 #include "entrance.h"
@@ -83,7 +83,8 @@
   /// Whether a peer is up and reports that it can reach the platform's table.
   bool reachesTable(const InstanceName &Peer) const;
   bool isKeyPlanner() const;
-  /// Whether this daemon is one of the few that watch the own table.
+  /// Whether this daemon is one of the few that watch the daemons' own
+  /// table.
   bool isWatcher() const;
   std::vector<TargetSelector::Candidate>
   candidates(const ServiceName &Service) const;
--- a/src/router/router_settings.h
+++ b/src/router/router_settings.h
@@ -1,4 +1,4 @@
-// Settings of a router process, read by an adapter.
+// Settings of a daemon, read by an adapter.
 #pragma once
 
 #include "balsamwheel/detail/core/ids.h"
@@ -29,6 +29,7 @@
   /// Address at which other daemons reach this one, if it differs from the
   /// listening address.
   std::optional<Endpoint> m_Advertised;
+  /// Serves the metrics; none means that they aren't served.
   std::optional<Endpoint> m_Metrics;
   /// Address of the platform's table.
   Endpoint m_Table;
