--- a/include/balsamwheel/detail/coordination/cluster_view.h
+++ b/include/balsamwheel/detail/coordination/cluster_view.h
@@ -52,8 +52,8 @@
   /// Whether the session is listed in a group row.
   bool isLive(SessionId Session) const;
   /// Whether the session has left its group permanently, so that its lease has
-  /// ended. Always false while the view is incomplete, because it may then be
-  /// older than the session.
+  /// ended. Always false while the view is incomplete, because the view may
+  /// then be older than the session.
   bool hasEnded(SessionId Session) const;
   std::size_t memberCount() const { return m_Members.size(); }
   /// Whether a member takes no new work: it says so itself, or the
--- a/include/balsamwheel/detail/coordination/config_tracker.h
+++ b/include/balsamwheel/detail/coordination/config_tracker.h
@@ -17,7 +17,7 @@
 public:
   /// Applies a row that contains a document or a delta.
   ///
-  /// \param Head version of the head row that announces this change.
+  /// \param Head the newest known version of the head row.
   /// \returns whether the row brought a newer version into force.
   bool merge(const Row &Stored, RowVersion Head);
 
@@ -25,8 +25,9 @@
   /// Null until the first document is applied.
   std::shared_ptr<const Config> config() const { return m_Config; }
 
-  /// Rows that lead from the version known at \p Head to the newest: the
-  /// deltas if all of them are stored, else the complete document.
+  /// Rows that a reader needs whose view was complete at version \p Head of the
+  /// head row: the deltas since then if all of them are stored, else the
+  /// complete document.
   std::vector<Row> rowsSince(RowVersion Head) const;
 
   /// Keys of the rows to read from the table to reach version \p Wanted.
@@ -35,6 +36,7 @@
 private:
   struct StoredDelta {
     Row m_Row;
+    /// The newest known version of the head row when the delta was applied.
     RowVersion m_Head;
   };
 
@@ -45,6 +47,7 @@
   /// Head version before which a reader needs the complete document: that of
   /// the last document or of the newest delta that is no longer stored.
   RowVersion m_DocumentHead;
+  /// By the configuration version to which the delta leads.
   std::map<std::uint64_t, StoredDelta> m_Deltas;
 };
 
--- a/include/balsamwheel/detail/coordination/expulsion.h
+++ b/include/balsamwheel/detail/coordination/expulsion.h
@@ -21,7 +21,8 @@
   struct Options {
     /// Lease duration plus the margin for clock drift.
     Duration m_LeaseWait{0};
-    /// A sequence unchanged for this long needs no promises.
+    /// A session whose sequence is unchanged for this long may be expelled
+    /// without promises.
     Duration m_PromiseLimit{0};
     /// A sequence unchanged for this long makes its session suspect.
     Duration m_SuspectAfter{0};
@@ -34,7 +35,8 @@
   void observe(const GroupMember &Subject, TimePoint Now);
   /// Records a sequence from a heartbeat.
   void observe(SessionId Session, std::uint64_t Sequence, TimePoint Now);
-  /// Records a promise. Ignored unless it is for the newest known sequence.
+  /// Records a witness's promise. Ignored unless it is for the newest known
+  /// sequence.
   void onPromise(SessionId Subject, std::uint64_t Sequence, SessionId Witness);
   bool isSuspect(const GroupMember &Subject, TimePoint Now) const;
   /// Whether the lease has expired for certain, not counting extensions by
--- a/include/balsamwheel/detail/coordination/group_leader.h
+++ b/include/balsamwheel/detail/coordination/group_leader.h
@@ -56,11 +56,13 @@
   /// others only as one of the first in the leader order.
   bool isWriterFor(SessionId Session) const;
   bool isFirstWriter() const;
-  /// Back-off that grows with each consecutive failure of the table.
+  /// Back-off that doubles with each consecutive failure of the table, up to a
+  /// limit.
   Duration retryDelay();
   void flush(TimePoint Now);
   void flushWithFreshView(TimePoint Now);
-  /// \returns whether anything but sequences changed.
+  /// \returns whether the change is structural, so that the head row must
+  /// change too: a member was added or its entry was replaced.
   bool applyHeartbeats(GroupRow &Row);
   bool applyHeartbeat(GroupRow &Row, const PendingHeartbeat &Waiting);
   bool expelSilentMembers(GroupRow &Row, TimePoint Now);
@@ -83,7 +85,11 @@
   void markReplacedSessions(const GroupRow &Row, TimePoint Now);
   void pollHead(TimePoint Now);
   void pushChanges();
+  /// The group with the next higher number that has members, or else the lowest
+  /// one; none if there is no other.
   std::optional<std::uint32_t> nextGroup() const;
+  /// Reads the next group's row. Expels silent members once the row has not
+  /// changed for a lease duration plus margin: no member of it still writes it.
   void watchNextGroup(TimePoint Now);
 
   CoordinationContext *m_Context;
--- a/include/balsamwheel/detail/coordination/group_row.h
+++ b/include/balsamwheel/detail/coordination/group_row.h
@@ -13,8 +13,8 @@
 
 inline constexpr char GroupRowPrefix[] = "group/";
 
-/// Witnesses of a session. A vacant place counts as a witness that grants
-/// nothing and has given every promise, so it may be filled at any time.
+/// Number of witnesses of a session. A vacant place counts as a witness that
+/// grants nothing and has given every promise, so it may be filled at any time.
 inline constexpr std::size_t WitnessCount = 3;
 /// Number of grants that extend a lease. Any two quorums share a witness.
 inline constexpr std::size_t WitnessQuorum = 2;
--- a/include/balsamwheel/detail/coordination/lease.h
+++ b/include/balsamwheel/detail/coordination/lease.h
@@ -10,10 +10,10 @@
 
 namespace balsamwheel {
 
-/// Tracks renewals and the end of the lease, which counts from before a renewal
-/// was sent. Invariant: end() is never later than the send time plus the lease
-/// duration of a renewal that is committed to the table or granted by a quorum
-/// of witnesses.
+/// Tracks renewals and the end of the lease, which runs from the send time of a
+/// renewal, not from its acknowledgement. Invariant: end() is never later than
+/// the send time plus the lease duration of a renewal that is committed to the
+/// table or granted by a quorum of witnesses.
 class LeaseHolder {
 public:
   LeaseHolder(Duration Lease, Duration ExtensionLimit)
@@ -42,7 +42,7 @@
   std::uint64_t sequence() const { return m_Sequence; }
   /// Highest sequence known to be committed.
   std::uint64_t committed() const { return m_Committed; }
-  /// Send time of a recent renewal; the epoch if it is no longer tracked.
+  /// Send time of a recent renewal; TimePoint{} if it is no longer tracked.
   TimePoint sentAt(std::uint64_t Sequence) const;
 
 private:
@@ -59,6 +59,7 @@
   TimePoint m_CommittedSendTime;
   /// Send times of the most recent renewals by sequence.
   std::map<std::uint64_t, TimePoint> m_SendTimes;
+  /// Witnesses that granted a renewal, by its sequence.
   std::map<std::uint64_t, std::set<SessionId>> m_Grants;
 };
 
--- a/include/balsamwheel/detail/coordination/load_balancer.h
+++ b/include/balsamwheel/detail/coordination/load_balancer.h
@@ -15,8 +15,8 @@
 /// its owners.
 ///
 /// Invariant: within a minute no more than 1 % of a service's shards are moved,
-/// except that one move is always allowed; no move makes the new owner the one
-/// with the highest load.
+/// or one shard if that is more; after a move, the new owner's load is lower
+/// than the old owner's load before it.
 class LoadBalancer {
 public:
   void onReport(const OwnerReport &Report, TimePoint Now);
--- a/include/balsamwheel/detail/coordination/map_row.h
+++ b/include/balsamwheel/detail/coordination/map_row.h
@@ -29,6 +29,7 @@
 
 struct MapRow {
   ServiceName m_Service;
+  /// Index of the row among the map rows of the service.
   std::uint32_t m_Part = 0;
   /// Number of shards of the whole service.
   std::uint32_t m_ShardCount = 0;
--- a/include/balsamwheel/detail/coordination/membership.h
+++ b/include/balsamwheel/detail/coordination/membership.h
@@ -108,8 +108,9 @@
   /// When the current heartbeat is sent to the next writer.
   TimePoint m_NextAttemptAt = Never;
   TimePoint m_ExtendAt = Never;
-  /// Writers that the current heartbeat was sent to.
+  /// Number of writers that the current heartbeat was sent to.
   std::size_t m_Attempt = 0;
+  /// Number of attempts to join a group since this session was last a member.
   std::size_t m_JoinRounds = 0;
   /// Consecutive heartbeats that the first writer did not acknowledge in time.
   std::size_t m_Failovers = 0;
--- a/include/balsamwheel/detail/coordination/ownership.h
+++ b/include/balsamwheel/detail/coordination/ownership.h
@@ -61,7 +61,8 @@
     Epoch m_Epoch;
     SessionId m_FormerOwner;
     bool m_Active = false;
-    /// The former owner has no running orders left for this shard.
+    /// The handover is complete: the former owner has no running orders left
+    /// for this shard.
     bool m_Resolved = false;
     TimePoint m_ActiveSince;
     /// Keys with orders still running at the former owner.
--- a/include/balsamwheel/detail/coordination/table_client.h
+++ b/include/balsamwheel/detail/coordination/table_client.h
@@ -18,7 +18,7 @@
   Applied,
   /// Not applied, or not known to be: re-read the rows first.
   Refused,
-  /// The table is unreachable.
+  /// The table is unreachable; the commit may still have been applied.
   Unavailable,
 };
 
@@ -37,8 +37,8 @@
   void read(TableRead Read, TimePoint Now, ReadDone Done);
   void commit(Transaction Commit, TimePoint Now, CommitDone Done);
   void onReply(TableTicket Ticket, const TableReply &Reply, TimePoint Now);
-  /// Fails reads, and resolves commits by a read, that got no reply within the
-  /// time-out.
+  /// Handles requests without a reply within the time-out: reads fail, commits
+  /// are resolved by reading the rows again.
   void expire(TimePoint Now);
 
 private:
--- a/include/balsamwheel/detail/coordination/witness.h
+++ b/include/balsamwheel/detail/coordination/witness.h
@@ -26,7 +26,8 @@
   void onAssigned(SessionId Subject, TimePoint Now);
   /// Handles a request to extend the subject's lease.
   ///
-  /// \param Committed the subject's highest sequence in the table.
+  /// \param Committed the highest sequence that the subject knows to be
+  /// committed.
   /// \returns whether the extension is granted.
   bool tryGrant(SessionId Subject, std::uint64_t Committed, TimePoint Now);
   /// Handles a request for a promise. Whatever the result, this witness grants
--- a/include/balsamwheel/detail/core/outcome.h
+++ b/include/balsamwheel/detail/core/outcome.h
@@ -10,12 +10,12 @@
 enum class Outcome : std::uint8_t {
   /// The target ran the request; its complete answer follows.
   Done,
-  /// No target received any part of the request.
+  /// No target ran any part of the request: it was not sent to a target, or the
+  /// target refused it without running it.
   NotRun,
   /// The request may or may not have run.
   Unknown,
-  /// No target received any part of the request; the caller may retry after
-  /// the given time.
+  /// As for NotRun; the caller may retry after the given time.
   Wait,
 };
 
@@ -34,7 +34,10 @@
   TargetFailed,
   PeerLost,
   HandoverPending,
+  /// The request ran, but its answer was not kept.
   AlreadyRan,
+  /// The records that could prove that an earlier attempt did not run are
+  /// incomplete.
   MemoryLost,
   Cancelled,
 };
--- a/include/balsamwheel/detail/manifest/document.h
+++ b/include/balsamwheel/detail/manifest/document.h
@@ -39,7 +39,7 @@
 /// Creates the transaction that replaces a configuration by a newer one.
 ///
 /// The caller adds the condition on the head row and its new value, see
-/// appendHeadBump().
+/// appendHeadUpdate().
 ///
 /// \param Current the row with the key ConfigHeadRowKey as read; version 0 if
 /// absent.
@@ -50,15 +50,16 @@
 Transaction makeConfigCommit(const Row &Current, const Config &Base,
                              const Config &Next, WriteId Id);
 
-/// Applies a delta's RFC 6902 patch.
+/// Applies a delta.
 ///
-/// \returns none when the patch cannot be applied or does not lead from \p Base
+/// \param Delta the value of the delta's row, see ConfigDeltaPrefix.
+/// \returns none when the delta cannot be applied or does not lead from \p Base
 /// to the next version.
-std::optional<Config> applyDelta(const Config &Base, const std::string &Patch);
+std::optional<Config> applyDelta(const Config &Base, const std::string &Delta);
 
 /// Reads the configuration from the row with the key ConfigHeadRowKey.
 ///
 /// \returns none when the row is absent or does not have the expected format.
-std::optional<Config> configFromRow(const Row &HeadRow);
+std::optional<Config> configFromRow(const Row &Stored);
 
 } // namespace balsamwheel
--- a/include/balsamwheel/detail/node/effects.h
+++ b/include/balsamwheel/detail/node/effects.h
@@ -88,8 +88,8 @@
 enum class OrderEnd : std::uint8_t {
   /// The complete answer was received.
   Answered,
-  /// The target refused the request without running it; the target is trusted
-  /// in this.
+  /// The target reported that it refused the request without running it; the
+  /// report is trusted.
   Shed,
   /// No byte of the request was sent.
   NotSent,
--- a/include/balsamwheel/detail/node/entrance.h
+++ b/include/balsamwheel/detail/node/entrance.h
@@ -57,7 +57,8 @@
 private:
   /// Delay before a forward with a receipt but without a reply is checked.
   static constexpr Duration ReceiptCheckDelay = std::chrono::milliseconds(500);
-  /// Sent to the caller when a first attempt could not be cleared.
+  /// Retry-after time in the answer to a caller whose first attempt could not
+  /// be cleared.
   static constexpr Duration UnclearedRetryAfter = std::chrono::milliseconds(50);
 
   enum class ExchangeKind : std::uint8_t {
@@ -78,8 +79,9 @@
     bool m_HasReceipt = false;
     /// For ForwardOutcome: stream of the forward that is asked about.
     std::uint64_t m_ForwardStream = 0;
-    /// When to act on a missing reply; max for an exchange with this daemon
-    /// itself, and for a forward while a ForwardOutcome exchange asks about it.
+    /// When to act on a missing reply; TimePoint::max() for an exchange with
+    /// this daemon itself, and for a forward while a ForwardOutcome exchange
+    /// asks about it.
     TimePoint m_CheckAt;
     Duration m_ReplyTimeout{0};
     /// Nonce of the probe sent for this exchange; 0 if none is pending.
@@ -88,6 +90,7 @@
 
   /// Confirmation of a daemon that it refuses earlier attempts from now on.
   struct Clearance {
+    /// Stream of the OutcomeQuery that was confirmed.
     std::uint64_t m_ClearingQuery = 0;
     Epoch m_Epoch;
   };
@@ -106,6 +109,8 @@
     TimePoint m_EarliestFirstSend;
     bool m_Keyed = false;
     std::vector<PeerExchange> m_Exchanges;
+    /// Sessions that refused or did not answer an earlier forward; picked only
+    /// if there are no others.
     std::vector<SessionId> m_Avoid;
     /// Retries after a forward that an executor refused or failed; limited by
     /// the retry budget.
@@ -161,6 +166,8 @@
                        const PeerExchange &Asked, const ForwardReply &Reply,
                        TimePoint Now);
   void finishUncleared(RequestHandle Handle, Request &Pending, TimePoint Now);
+  /// Whether records that reach back by \p MemoryAge at another daemon include
+  /// the caller's first attempt.
   bool memoryCovers(const Request &Pending, Duration MemoryAge,
                     TimePoint Now) const;
 
@@ -200,6 +207,7 @@
   TimePoint m_HistoryUpdateAt = TimePoint::min();
   /// Requests read until then may have been delayed by a suspension.
   TimePoint m_PossiblyDelayedUntil = TimePoint::min();
+  /// Upper bound of that delay.
   Duration m_PossibleDelay{0};
 };
 
--- a/include/balsamwheel/detail/node/executor.h
+++ b/include/balsamwheel/detail/node/executor.h
@@ -117,6 +117,8 @@
   void replyRecord(const OutcomeRecord &Record, const PeerAddress &Receiver,
                    std::uint64_t Stream, const RequestMeta &Meta);
   std::optional<ShardRef> shardFor(const RequestMeta &Meta) const;
+  /// How far back this daemon's records of the request's shard, or of a service
+  /// that is not divided by key, are complete.
   Duration memoryAge(const RequestMeta &Meta, TimePoint Now) const;
   OutcomeRecord *findRecord(const RequestMeta &Meta);
 
--- a/include/balsamwheel/detail/node/outcome_store.h
+++ b/include/balsamwheel/detail/node/outcome_store.h
@@ -51,10 +51,11 @@
 struct OutcomeRecord {
   RecordState m_State = RecordState::Pending;
   AttemptRank m_Rank;
-  /// Digest of the set of sessions that last cleared an attempt; 0 if none did.
+  /// Digest of the set of sessions that the last clearing asked; 0 if there was
+  /// none.
   std::uint64_t m_AskedSessionsDigest = 0;
-  /// Attempts were cleared by different sets of sessions, so one of them may
-  /// have run at a session that the clearing of another did not ask.
+  /// Clearings of this request asked different sets of sessions, so an attempt
+  /// may have run at a session that another clearing did not ask.
   bool m_AskedSetsDiffer = false;
   /// Epoch under which the attempt was cleared or accepted.
   Epoch m_Epoch;
--- a/include/balsamwheel/detail/node/peer_watch.h
+++ b/include/balsamwheel/detail/node/peer_watch.h
@@ -47,6 +47,7 @@
     std::uint64_t m_Nonce = 0;
     /// When the pending probe times out; max if none is pending.
     TimePoint m_EvaluateAt = TimePoint::max();
+    /// No probe is sent before this time.
     TimePoint m_NextAt = TimePoint::min();
   };
 
--- a/include/balsamwheel/detail/wire/control.h
+++ b/include/balsamwheel/detail/wire/control.h
@@ -20,6 +20,7 @@
   /// Increases by one with each heartbeat of the session.
   std::uint64_t m_Sequence = 0;
   ConfigVersion m_ConfigApplied;
+  /// Version of the head row at which the sender's view was last complete.
   std::uint64_t m_MapSeen = 0;
   /// JSON of the member's own entry in the group row; empty if unchanged.
   std::string m_Entry;
@@ -32,9 +33,11 @@
   std::uint32_t m_Group = 0;
   SessionId m_Session;
   std::uint64_t m_SequenceCommitted = 0;
+  /// Version of the group's row as known to the leader.
   RowVersion m_GroupRow;
-  /// Version of the head row at the leader's last read.
+  /// Version of the head row at which the leader's view was last complete.
   RowVersion m_Head;
+  /// The session was expelled or not admitted, and must join as a new session.
   bool m_Expelled = false;
   /// Delay until the next heartbeat as requested by the leader, which aligns
   /// the heartbeats of the whole group so that they share one write; 0 leaves
@@ -53,6 +56,7 @@
   std::uint32_t m_Group = 0;
   RowVersion m_GroupRow;
   ConfigVersion m_ConfigApplied;
+  /// Version of the head row at which the sender's view was last complete.
   std::uint64_t m_MapSeen = 0;
 
   bool operator==(const ExtendRequest &) const = default;
@@ -101,6 +105,7 @@
 /// Rows of the table as read by some daemon. Idempotent: a receiver keeps the
 /// higher version of each row.
 struct Changes {
+  /// Version of the head row at which the sender's view was last complete.
   RowVersion m_Head;
   std::vector<Row> m_Rows;
 
@@ -134,7 +139,8 @@
   bool operator==(const YieldRequest &) const = default;
 };
 
-/// Sent by the new owner to confirm that it received the Yield of these shards.
+/// Confirms receipt of the Yield of these shards. Not sent by this version and
+/// ignored on receipt.
 struct YieldAck {
   SessionId m_From;
   std::vector<ShardRef> m_Shards;
@@ -153,7 +159,8 @@
   bool operator==(const KeyFinished &) const = default;
 };
 
-/// An owner's report to the planner about completed handovers and its load.
+/// An owner's report to the planner, either about completed handovers
+/// (m_Settled is not empty) or about its load.
 struct OwnerReport {
   struct Load {
     ShardRef m_Shard;
--- a/include/balsamwheel/detail/wire/request.h
+++ b/include/balsamwheel/detail/wire/request.h
@@ -122,8 +122,8 @@
   /// NotRun, it refuses all earlier attempts.
   std::uint64_t m_ForwardStream = 0;
   /// Digest of the set of sessions that are asked to clear this attempt; 0 for
-  /// a request with a key, where the owner and its predecessor are asked in
-  /// turn.
+  /// a request with a key, where the owner and then the former owner are
+  /// asked.
   std::uint64_t m_AskedSessionsDigest = 0;
 
   bool operator==(const OutcomeQuery &) const = default;
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -22,8 +22,7 @@
 constexpr Duration SettledReportPeriod = std::chrono::milliseconds(400);
 /// After this many reports without effect, the next planner in order gets them.
 constexpr std::size_t ReportsPerPlanner = 4;
-/// A shutdown that finds no new owners for its shards gives up waiting after
-/// this time.
+/// A shutdown waits at most this long for new owners to take over its shards.
 constexpr Duration NewOwnerTimeout = std::chrono::seconds(4);
 /// A shutdown takes at least this long, so that other members learn of it.
 constexpr Duration MinLeaveDelay = std::chrono::seconds(1);
@@ -114,12 +113,12 @@
     Permit Result;
     const LeaseHolder &Lease = m_Membership.lease();
     const std::uint32_t ShardCount = m_Context.m_View.shardCount(Service);
-    const balsamwheel::Service *Config = findService(Service);
-    if (!Config)
+    const balsamwheel::Service *Found = findService(Service);
+    if (!Found)
       return refuse(Reason::UnknownService);
     if (Now >= m_RefuseWorkAt)
       return refuse(m_LeaveReason);
-    if (Config->m_DividedByKey) {
+    if (Found->m_DividedByKey) {
       if (ShardCount == 0)
         return refuse(Reason::NoOwner);
       const Ownership::Check Check =
@@ -138,7 +137,7 @@
         Lease.end() - m_Context.m_Options.m_Timing.m_OrderMargin;
     if (enforced<Rule::LeaseCheck>() && Now >= Result.m_OrderDeadline)
       return refuse(Reason::LeaseExpired);
-    if (!enforced<Rule::LeaseCheck>() || !Config->m_DividedByKey)
+    if (!enforced<Rule::LeaseCheck>() || !Found->m_DividedByKey)
       Result.m_OrderDeadline = Never;
     Result.m_Granted = true;
     return Result;
@@ -263,7 +262,7 @@
       m_LoadReporter.onReport(Message, Now);
   }
 
-  /// Notifies the components of changes of the view until there are none left.
+  /// Notifies the parts of changes of the view until there are none left.
   void dispatchChanges(TimePoint Now) {
     while (m_Context.m_PendingChange.m_Any) {
       m_Membership.onViewChanged(Now);
@@ -336,7 +335,8 @@
   bool m_TargetLeaving = false;
   TimePoint m_ShutdownAt = Never;
   TimePoint m_SettledReportAt = Never;
-  /// Reports of settled shards sent since there was last nothing to report.
+  /// Number of consecutive reports of settled shards; 0 once there is nothing
+  /// left to report.
   std::size_t m_SettledReports = 0;
   /// New work is refused from this time on.
   TimePoint m_RefuseWorkAt = Never;
--- a/src/coordination/document.cpp
+++ b/src/coordination/document.cpp
@@ -161,23 +161,23 @@
   return Result;
 }
 
-std::optional<Config> applyDelta(const Config &Base, const std::string &Patch) {
-  const std::optional<Json> Delta = parseJson(Patch);
-  if (!Delta)
+std::optional<Config> applyDelta(const Config &Base, const std::string &Delta) {
+  const std::optional<Json> Parsed = parseJson(Delta);
+  if (!Parsed)
     return std::nullopt;
   try {
-    if (Delta->at("version") != Base.m_Version.value() + 1)
+    if (Parsed->at("version") != Base.m_Version.value() + 1)
       return std::nullopt;
-    return fromDocument(toDocument(Base).patch(Delta->at("patch")));
+    return fromDocument(toDocument(Base).patch(Parsed->at("patch")));
   } catch (const Json::exception &) {
     return std::nullopt;
   }
 }
 
-std::optional<Config> configFromRow(const Row &HeadRow) {
-  if (HeadRow.m_Version.value() == 0)
+std::optional<Config> configFromRow(const Row &Stored) {
+  if (Stored.m_Version.value() == 0)
     return std::nullopt;
-  const std::optional<Json> Value = parseJson(HeadRow.m_Value);
+  const std::optional<Json> Value = parseJson(Stored.m_Value);
   if (!Value || !Value->is_object() || !Value->contains("document"))
     return std::nullopt;
   return fromDocument(Value->at("document"));
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -15,7 +15,7 @@
 constexpr Duration MinFlushInterval = std::chrono::milliseconds(120);
 /// Base of the back-off after a failure of the table, and bound of its jitter.
 constexpr Duration RetryDelay = std::chrono::milliseconds(200);
-/// Number of members, first in the leader order, that write the row for others.
+/// This many members at the front of the leader order write the row for others.
 constexpr std::ptrdiff_t MaxWriters = 4;
 /// Bound of the random delay before a write is retried after a conflict.
 constexpr Duration ConflictJitter = std::chrono::milliseconds(40);
--- a/src/coordination/load_balancer.cpp
+++ b/src/coordination/load_balancer.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Shards are moved when the highest load of an owner exceeds the mean load by
-/// this factor. Below the required bound of 1.25.
+/// Shards are moved when the highest load of an owner exceeds this multiple of
+/// the mean load. Lower than 1.25, the highest ratio that is acceptable.
 constexpr double MaxPeakToMean = 1.20;
 /// A move must lower the highest load by at least this fraction of the mean.
 constexpr double MinPeakReduction = 0.10;
--- a/src/coordination/load_reporter.cpp
+++ b/src/coordination/load_reporter.cpp
@@ -1,4 +1,4 @@
-// Load reports are sent to the first planner in order.
+// Sends load reports to the first member in the planner order.
 #include "balsamwheel/detail/coordination/load_reporter.h"
 
 #include <algorithm>
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -14,9 +14,9 @@
 constexpr Duration HeartbeatJitter = std::chrono::milliseconds(20);
 /// Witnesses extend a lease at most this long past its last commit.
 constexpr Duration ExtensionLimit = std::chrono::hours(1);
-/// Other members that are sent a heartbeat before this session writes the row
-/// itself.
-constexpr std::size_t MaxRelays = 2;
+/// Number of other members that are sent a heartbeat before this session writes
+/// the row itself.
+constexpr std::size_t MaxRemoteWriters = 2;
 /// While witnesses extend the lease, this session tries to write the row itself
 /// only in every n-th heartbeat.
 constexpr std::uint64_t SelfWriteInterval = 8;
@@ -28,8 +28,8 @@
 constexpr std::size_t FailoversBeforePreference = 2;
 /// Time-out for removing this session from its group's row.
 constexpr Duration LeaveTimeout = std::chrono::seconds(6);
-/// Cap on doubling, with each further attempt to join, the range from which the
-/// number of a new group is drawn.
+/// The number of a new group is drawn from a range that doubles with each
+/// further attempt to join, at most this many times.
 constexpr std::size_t MaxGroupDoublings = 6;
 
 Duration grantDuration(const CoordinationTiming &Timing) {
@@ -164,8 +164,8 @@
   }
   const bool First = !Result.empty() && Result.front() == Self;
   std::erase(Result, Self);
-  if (Result.size() > MaxRelays)
-    Result.resize(MaxRelays);
+  if (Result.size() > MaxRemoteWriters)
+    Result.resize(MaxRemoteWriters);
   if (First)
     Result.insert(Result.begin(), Self);
   const bool SkipSelf = m_Lease.extended() && !Result.empty() &&
--- a/src/coordination/plan_runner.cpp
+++ b/src/coordination/plan_runner.cpp
@@ -109,11 +109,11 @@
   }
   if (!m_ChangesDueSince)
     m_ChangesDueSince = Now;
-  const bool SkipsTurn = Immediate && !m_Settled.empty();
+  const bool SkipsDelay = Immediate && !m_Settled.empty();
   const Duration Delay = Immediate ? RankDelay : PacedRankDelay;
   const TimePoint CommitAt =
-      SkipsTurn ? Now
-                : *m_ChangesDueSince + Delay * static_cast<int>(plannerRank());
+      SkipsDelay ? Now
+                 : *m_ChangesDueSince + Delay * static_cast<int>(plannerRank());
   if (Now < CommitAt) {
     m_EvaluateAt = CommitAt;
     return;
--- a/src/coordination/planner.cpp
+++ b/src/coordination/planner.cpp
@@ -23,12 +23,12 @@
 /// Plans one service.
 class ServicePlanner {
 public:
-  ServicePlanner(const PlanRequest &Request, const Service &Config,
+  ServicePlanner(const PlanRequest &Request, const Service &Planned,
                  Plan &Result)
-      : m_Request(Request), m_View(*Request.m_View), m_Service(Config),
-        m_Result(Result), m_ShardCount(m_View.shardCount(Config.m_Name) != 0
-                                           ? m_View.shardCount(Config.m_Name)
-                                           : Config.m_Shards),
+      : m_Request(Request), m_View(*Request.m_View), m_Service(Planned),
+        m_Result(Result), m_ShardCount(m_View.shardCount(Planned.m_Name) != 0
+                                           ? m_View.shardCount(Planned.m_Name)
+                                           : Planned.m_Shards),
         m_Placement(candidates(), m_ShardCount) {
     loadRows();
   }
--- a/src/node/entrance.cpp
+++ b/src/node/entrance.cpp
@@ -10,7 +10,8 @@
 
 /// Maximum time that a request waits for an available owner or target.
 constexpr Duration MaxOwnerWait = std::chrono::seconds(1);
-/// Sent to the caller when no owner became available in this time.
+/// Retry-after time in the answer to a caller for whose request no owner became
+/// available.
 constexpr Duration NoOwnerRetryAfter = std::chrono::milliseconds(200);
 /// Bounds of the exponential back-off between tries to find an owner.
 constexpr Duration MinRoutingBackoff = std::chrono::milliseconds(5);
@@ -30,8 +31,9 @@
 /// by this daemon.
 constexpr Duration MaxCallerTransit = std::chrono::milliseconds(500);
 /// Upper bound of how much later than this daemon another daemon learns of a
-/// new member: the lease that the other daemon holds through its leader's last
-/// acknowledgement, plus one heartbeat interval.
+/// new member: one lease duration, which the other daemon holds through its
+/// leader's last acknowledgement, plus one heartbeat period (1800 ms and 600 ms
+/// by default).
 constexpr Duration MaxMemberViewLag = std::chrono::milliseconds(2400);
 
 } // namespace
--- a/src/node/entrance_silence.cpp
+++ b/src/node/entrance_silence.cpp
@@ -22,8 +22,8 @@
   const bool SessionEnded =
       m_Context.coordinator().findMember(Each.m_Session) == nullptr;
   if (SessionEnded) {
-    // The session has ended permanently, so the outcome cannot be determined
-    // any more.
+    // The session has ended permanently, so the outcome can no longer be
+    // determined.
     const PeerExchange Lost = closeExchange(Pending, Index);
     ForwardReply Unknown;
     Unknown.m_Reason = Reason::PeerLost;
