--- a/include/balsamwheel/detail/coordination/coordinator.h
+++ b/include/balsamwheel/detail/coordination/coordinator.h
@@ -36,7 +36,7 @@
   /// Orders must end this long before the end of the lease that covers them.
   Duration m_OrderMargin = std::chrono::milliseconds(100);
   /// A heartbeat that is not acknowledged within this time is sent to the next
-  /// member in leader order.
+  /// member that may write the group's row.
   Duration m_AckTimeout = std::chrono::milliseconds(250);
   Duration m_HeadPollPeriod = std::chrono::milliseconds(300);
   /// A daemon whose domain is taken out, or that drains or shuts down, refuses
--- a/include/balsamwheel/detail/node/peer_watch.h
+++ b/include/balsamwheel/detail/node/peer_watch.h
@@ -37,7 +37,7 @@
   void reset(const PeerAddress &Peer, TimePoint Now);
 
   /// Called when a message without a receipt of its own was sent: probes the
-  /// connection, at most once per MinProbeInterval.
+  /// connection, at most once per MinProbeInterval while probes are answered.
   void onSent(const PeerAddress &Peer, TimePoint Now);
   void onTick(TimePoint Now);
   TimePoint nextWake() const { return m_WakeAt; }
--- a/include/balsamwheel/detail/wire/request.h
+++ b/include/balsamwheel/detail/wire/request.h
@@ -38,7 +38,8 @@
   /// The body up to InlineBodyLimit; a longer one follows in chunks.
   std::string m_Body;
   std::uint64_t m_BodyLength = 0;
-  /// Names the rest of a longer body at the daemon that sends it; 0 if none.
+  /// Stream id of the rest of a longer body, at the daemon that sends this
+  /// message; 0 if none.
   std::uint64_t m_BodyStream = 0;
 
   bool operator==(const HttpRequest &) const = default;
@@ -53,7 +54,8 @@
   std::uint64_t m_BodyLength = 0;
   /// XXH3 of the whole body; set only when the body is inline.
   std::uint64_t m_BodyHash = 0;
-  /// Names the rest of a longer body at the daemon that sends it; 0 if none.
+  /// Stream id of the rest of a longer body, at the daemon that sends this
+  /// message; 0 if none.
   std::uint64_t m_BodyStream = 0;
 
   bool operator==(const HttpAnswer &) const = default;
@@ -104,7 +106,7 @@
   /// which the replier still remembers every non-idempotent request that it ran
   /// for this key.
   Duration m_MemoryAge{0};
-  /// The former owner of the key if it is still alive, otherwise 0.
+  /// The former owner of the key if its session is still live, otherwise 0.
   SessionId m_FormerOwner;
   HttpAnswer m_Http;
 
--- a/src/node/peer_watch.cpp
+++ b/src/node/peer_watch.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Minimum interval between two probes of a connection that carries control
-/// messages.
+/// messages, as long as the probes are answered.
 constexpr Duration MinProbeInterval = std::chrono::milliseconds(500);
 /// A connection without a probe reply within this time is reset.
 constexpr Duration ProbeTimeout = std::chrono::milliseconds(150);
