--- a/include/balsamwheel/detail/coordination/membership.h
+++ b/include/balsamwheel/detail/coordination/membership.h
@@ -110,7 +110,7 @@
   TimePoint m_ExtendAt = Never;
   /// Number of writers that the current heartbeat was sent to.
   std::size_t m_Attempt = 0;
-  /// Number of attempts to join a group since this session was last a member.
+  /// Number of attempts to join a group since this daemon was last a member.
   std::size_t m_JoinRounds = 0;
   /// Consecutive heartbeats that the first writer did not acknowledge in time.
   std::size_t m_Failovers = 0;
