--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -81,8 +81,8 @@
                                .m_CallerAddress = Name + ":80"};
     m_Processes.push_back({Address, Coordinator(std::move(Options), Seed)});
     m_Processes.back().m_Coordinator.start(m_Now);
-    m_Processes.back().m_Coordinator.onTargetReady(ServiceName("orders"), 10,
-                                                   m_Now);
+    m_Processes.back().m_Coordinator.onTargetReady(ServiceName("orders"),
+                                                   /*Slots=*/10, m_Now);
   }
 
   void run(Duration Length) {
--- a/src/adapters/caller_http/answer.cpp
+++ b/src/adapters/caller_http/answer.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint16_t StatusUnavailable = 503;
 constexpr std::uint16_t StatusTimeout = 504;
 constexpr std::size_t StreamBlockBytes = std::size_t{64} * 1024;
-constexpr std::string_view OwnHeaderPrefix = "Balsamwheel-";
+constexpr std::string_view BalsamwheelHeaderPrefix = "Balsamwheel-";
 
 /// Hop-by-hop headers, and headers that the server sets itself.
 constexpr std::array<std::string_view, 8> HopByHopHeaders{
@@ -24,7 +24,8 @@
     "Content-Length", "Trailer",    "Upgrade",          "Date"};
 
 bool isEndToEnd(std::string_view Name) {
-  if (sameHeaderName(Name.substr(0, OwnHeaderPrefix.size()), OwnHeaderPrefix))
+  if (sameHeaderName(Name.substr(0, BalsamwheelHeaderPrefix.size()),
+                     BalsamwheelHeaderPrefix))
     return false;
   return std::none_of(
       HopByHopHeaders.begin(), HopByHopHeaders.end(),
--- a/src/adapters/caller_http/answer.h
+++ b/src/adapters/caller_http/answer.h
@@ -27,7 +27,7 @@
   Reason m_Reason = Reason::None;
   std::string m_Detail;
   RequestId m_Id;
-  /// When the caller should retry; 0 when no time is given.
+  /// Time that the caller should wait before it retries; 0 if none is stated.
   Duration m_RetryAfter{0};
 };
 
--- a/src/adapters/caller_http/caller_exchange.h
+++ b/src/adapters/caller_http/caller_exchange.h
@@ -14,7 +14,8 @@
 
 namespace balsamwheel::caller_http {
 
-/// Only the server's thread accesses the members that the mutex does not guard.
+/// Only the server's thread writes the members that the mutex does not guard.
+/// Other threads read some of them: CallerServer::answer() and stop().
 ///
 /// Invariant: while the connection is suspended, either the answer or a pipe
 /// is going to resume it.
--- a/src/adapters/caller_http/caller_server.cpp
+++ b/src/adapters/caller_http/caller_server.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::uint16_t StatusLengthRequired = 411;
-/// Retry time sent to callers when the node's queue is full.
+/// Retry time sent to callers when the daemon's event queue is full.
 constexpr Duration BusyRetryAfter = std::chrono::milliseconds(100);
 
 MHD_Result addHeaderValue(void *Output, MHD_ValueKind, const char *Name,
--- a/src/adapters/caller_http/caller_server.h
+++ b/src/adapters/caller_http/caller_server.h
@@ -31,7 +31,7 @@
 struct CallerHandlers {
   /// Returns the active configuration, null before the first one is loaded.
   std::function<std::shared_ptr<const Config>()> m_Config;
-  /// Accepts a request; returns false when the node's queue is full.
+  /// Accepts a request; returns false when the daemon's event queue is full.
   std::function<bool(IncomingRequest &Request)> m_OnRequest;
   /// The caller disconnected before its answer was sent.
   std::function<void(RequestHandle)> m_OnCallerDisconnected;
@@ -43,7 +43,7 @@
   std::function<void(Reason)> m_OnRefused;
 };
 
-/// Satisfies CallerEntrance. One thread serves all connections; a connection
+/// Satisfies CallerFrontend. One thread serves all connections; a connection
 /// is suspended while it waits for its answer.
 class CallerServer {
 public:
--- a/src/adapters/http_client/transfer.h
+++ b/src/adapters/http_client/transfer.h
@@ -58,8 +58,9 @@
   /// Bytes of the complete body.
   std::uint64_t m_BodyLength = 0;
   TimePoint m_Deadline;
-  /// The request is not sent if more than this time has passed since the time
-  /// left for the deadline header was computed.
+  /// Longest time from the start of the transfer until the request is sent. A
+  /// request that would be sent later isn't sent, because the time left in its
+  /// deadline header would be outdated.
   Duration m_MaxSendDelay = std::chrono::milliseconds(50);
   /// If set, long answers are streamed; otherwise they are buffered completely.
   PipeFactory m_MakePipe;
--- a/src/adapters/http_client/transfer_loop.cpp
+++ b/src/adapters/http_client/transfer_loop.cpp
@@ -35,12 +35,12 @@
   Exchange *m_Exchange = nullptr;
 };
 
-struct SetConnections {
+struct SetMaxConnections {
   long m_Connections = 0;
 };
 
 using Command =
-    std::variant<std::monostate, Transfer, CancelTransfer, SetConnections>;
+    std::variant<std::monostate, Transfer, CancelTransfer, SetMaxConnections>;
 
 } // namespace
 
@@ -137,7 +137,7 @@
     finish(*Found->second, CURLE_ABORTED_BY_CALLBACK);
   }
 
-  void execute(const SetConnections &Item) {
+  void execute(const SetMaxConnections &Item) {
     applyMaxConnections(Item.m_Connections);
   }
 
@@ -194,7 +194,8 @@
   CURLM *m_Multi;
   CurlWaker m_Waker;
   runtime::Mailbox<Command, CurlWaker> m_Commands;
-  /// Separate from the commands, because pipes also post from this thread.
+  /// Separate from the commands, because callbacks of pipes also post to it
+  /// from this thread, which must not wait for space in the command queue.
   runtime::Mailbox<ResumeTransfer, CurlWaker> m_Resumes;
   std::atomic<bool> m_Stop{false};
   std::thread m_Thread;
@@ -221,7 +222,7 @@
 }
 
 void TransferLoop::setMaxConnections(long Connections) {
-  m_Impl->postOrWait(SetConnections{Connections});
+  m_Impl->postOrWait(SetMaxConnections{Connections});
 }
 
 void TransferLoop::stop() { m_Impl->stop(); }
--- a/src/adapters/peer_tcp/tcp_transport.cpp
+++ b/src/adapters/peer_tcp/tcp_transport.cpp
@@ -25,13 +25,14 @@
 
 /// Maximum number of queued commands; further commands are dropped.
 constexpr std::size_t MaxCommands = 65'536;
-/// Handles besides the connections: listening socket, notification, reactor.
+/// Handles reserved in the reactor besides those of the connections: listening
+/// socket, notification, the reactor's own.
 constexpr std::size_t SpareHandles = 64;
 constexpr int ListenBacklog = 1024;
 /// Time-out of a connection attempt: 1 s.
 const ACE_Time_Value ConnectTimeout(1, 0);
 
-/// A request of another thread to the reactor's thread. An empty frame resets
+/// A request from another thread to the reactor's thread. An empty frame resets
 /// the connections to the peer.
 struct Command {
   PeerAddress m_Peer;
@@ -153,15 +154,16 @@
 
   void onClosed(Connection &Closed) override {
     const auto ByPeer = m_ByPeer.find(Closed.peer());
-    const bool WasUsed = ByPeer != m_ByPeer.end() && ByPeer->second == &Closed;
-    if (WasUsed)
+    const bool WasSendConnection =
+        ByPeer != m_ByPeer.end() && ByPeer->second == &Closed;
+    if (WasSendConnection)
       m_ByPeer.erase(ByPeer);
     const auto Found = m_Connections.find(&Closed);
     if (Found != m_Connections.end()) {
       m_ClosedConnections.push_back(std::move(Found->second));
       m_Connections.erase(Found);
     }
-    if (WasUsed && !m_Stopping.load())
+    if (WasSendConnection && !m_Stopping.load())
       m_Handlers.m_OnLost(Closed.peer());
   }
 
--- a/src/adapters/target_http/order.cpp
+++ b/src/adapters/target_http/order.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::string_view OwnHeaderPrefix = "Balsamwheel-";
+constexpr std::string_view BalsamwheelHeaderPrefix = "Balsamwheel-";
 constexpr const char *NotRunHeader = "Balsamwheel-Not-Run";
 constexpr int StatusConflict = 409;
 constexpr int StatusUnavailable = 503;
@@ -34,7 +34,8 @@
 }
 
 bool isEndToEnd(std::string_view Name) {
-  if (equalsIgnoreCase(Name.substr(0, OwnHeaderPrefix.size()), OwnHeaderPrefix))
+  if (equalsIgnoreCase(Name.substr(0, BalsamwheelHeaderPrefix.size()),
+                       BalsamwheelHeaderPrefix))
     return false;
   return std::none_of(
       HopByHopHeaders.begin(), HopByHopHeaders.end(),
@@ -60,6 +61,7 @@
   Outgoing.m_Headers.push_back(std::move(Line));
 }
 
+/// Whether the target refused the order and states that it did not run it.
 bool isRefusalWithoutRun(const HttpAnswer &Answer) {
   if (Answer.m_Status != StatusUnavailable && Answer.m_Status != StatusConflict)
     return false;
--- a/src/cli/cluster_rows.h
+++ b/src/cli/cluster_rows.h
@@ -10,7 +10,7 @@
 
 namespace balsamwheel::cli {
 
-/// One consistent snapshot of these rows.
+/// A consistent snapshot of the configuration and members.
 struct ClusterRows {
   HeadRow m_Head;
   /// The row of ConfigHeadRowKey; version 0 if nothing has been committed yet.
--- a/src/daemon/adapters.h
+++ b/src/daemon/adapters.h
@@ -14,12 +14,12 @@
 
 /// Sends answers to callers. Thread-safe.
 template <typename T>
-concept CallerEntrance =
-    requires(T Entrance, AnswerCaller Answer, runtime::BodyPipePtr BodyRest) {
-      Entrance.answer(std::move(Answer), std::move(BodyRest));
-      Entrance.closeAfterAnswers();
-      Entrance.stopListening();
-      { Entrance.openRequests() } -> std::convertible_to<std::size_t>;
+concept CallerFrontend =
+    requires(T Frontend, AnswerCaller Answer, runtime::BodyPipePtr BodyRest) {
+      Frontend.answer(std::move(Answer), std::move(BodyRest));
+      Frontend.closeAfterAnswers();
+      Frontend.stopListening();
+      { Frontend.openRequests() } -> std::convertible_to<std::size_t>;
     };
 
 /// Sends orders to the local target and reports the end of each exactly once.
--- a/src/daemon/core.h
+++ b/src/daemon/core.h
@@ -22,12 +22,12 @@
 struct CoreShared {
   Inbox m_Inbox;
   Metrics m_Metrics;
-  /// The current configuration; null until one is known.
+  /// The active configuration; null before the first one is loaded.
   std::atomic<std::shared_ptr<const Config>> m_Config;
 };
 
 /// Owns the node. Only run() accesses it, on one thread.
-template <CallerEntrance Callers, TargetClient Target, TableClient Table,
+template <CallerFrontend Callers, TargetClient Target, TableClient Table,
           PeerTransport Peers>
 class Core {
 public:
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -88,7 +88,7 @@
   /// called on the core thread.
   void post(Event Value) {
     while (!m_Closed && !m_Mailbox.tryPush(Value))
-      std::this_thread::sleep_for(FullRetryDelay);
+      std::this_thread::sleep_for(FullRetryInterval);
   }
   /// Call when the core thread takes no more events, so that post() can't
   /// block.
@@ -105,10 +105,10 @@
   std::size_t size() const { return m_Mailbox.size(); }
 
 private:
-  /// Events.
+  /// Number of events.
   static constexpr std::size_t DefaultCapacity = 8192;
-  /// Delay between attempts to post to a full queue.
-  static constexpr std::chrono::microseconds FullRetryDelay{100};
+  /// Time between attempts of post() while the queue is full.
+  static constexpr std::chrono::microseconds FullRetryInterval{100};
 
   runtime::EventWaker m_Waker;
   runtime::Mailbox<Event, runtime::EventWaker> m_Mailbox;
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -24,8 +24,8 @@
   prometheus::Counter *m_Bytes = nullptr;
 };
 
-/// Thread-safe, except recordRequest() and update(): only the core thread may
-/// call them, because they use caches without a lock.
+/// Thread-safe, except recordRequest() and update(), which only the core thread
+/// may call. recordRequest() uses a cache without a lock.
 class Metrics {
 public:
   Metrics();
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-/// Upper limits of most fields: one hour, and a count.
+/// Upper limit of all durations, in milliseconds: one hour.
 constexpr std::int64_t MaxMs = 3'600'000;
+/// Upper limit of most counts.
 constexpr std::int64_t MaxCount = 1'000'000;
 
 std::string checkAddress(const std::string &Text) {
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -34,7 +34,8 @@
   unsigned m_CallerConnections = 4096;
   /// Maximum number of open connections with other daemons, in both directions.
   unsigned m_PeerConnections = 2048;
-  /// A target that has sent nothing for this long counts as gone.
+  /// A target that sends no announcement for this time is treated as having
+  /// left.
   Duration m_TargetSilence = std::chrono::seconds(3);
   /// A shutdown ends after this time even if work is still open.
   Duration m_ShutdownLimit = std::chrono::seconds(60);
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -24,8 +24,8 @@
 struct EventLoopOptions {
   /// Maximum number of descriptors that are watched at the same time.
   std::size_t m_MaxHandles = 4096;
-  /// Longest wait for an event. After a signal it is at most this long until
-  /// run() calls \p AfterWakeUp.
+  /// Longest wait for an event, and thus the longest time from a signal to the
+  /// next call of the function that was passed to run().
   Duration m_MaxSleep = std::chrono::milliseconds(250);
 };
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Most bytes that are read for one event.
+/// Maximum number of bytes read per event.
 constexpr std::size_t ReadSize = 65536;
 constexpr int ListenBacklog = 511;
 /// An empty output buffer with a larger capacity (bytes) is freed.
--- a/src/runtime/body_pipe.h
+++ b/src/runtime/body_pipe.h
@@ -28,7 +28,7 @@
   Failed,
 };
 
-/// In bytes.
+/// Default capacity of a pipe in bytes.
 inline constexpr std::size_t DefaultPipeCapacity = std::size_t{256} * 1024;
 
 struct BodyPipeOptions {
--- a/src/runtime/bounded_ring.h
+++ b/src/runtime/bounded_ring.h
@@ -11,8 +11,9 @@
 
 namespace balsamwheel::runtime {
 
-/// Each slot has a sequence number: equal to a position, the slot is free for
-/// the producer of that position; one more, it is filled for its consumer.
+/// Each slot has a sequence number. If it equals a position, the slot is free
+/// for the producer at that position; if it is the position plus one, the slot
+/// holds a value for the consumer at that position.
 ///
 /// Invariant: the capacity is a power of two and never changes.
 template <typename T> class BoundedRing {
