--- a/bench/capacity/fleet.cpp
+++ b/bench/capacity/fleet.cpp
@@ -19,8 +19,10 @@
 /// Overhead of an HTTP exchange with the table: headers of request and
 /// response, and TCP and IP headers.
 constexpr std::uint64_t HttpOverheadBytes = 400;
+/// Overhead of each row, condition and write in such an exchange.
 constexpr std::uint64_t RowOverheadBytes = 40;
 constexpr std::uint32_t TargetSlots = 10;
+/// Period of the check for unserved shards.
 constexpr Duration ServedCheckPeriod = std::chrono::milliseconds(20);
 /// Time between the starts of two nodes: they start one after the other, as the
 /// instances of a deployment do.
--- a/bench/capacity/fleet.h
+++ b/bench/capacity/fleet.h
@@ -19,7 +19,9 @@
   std::uint32_t m_Shards = 16'384;
   std::uint32_t m_Domains = 4;
   std::uint64_t m_Seed = 1;
+  /// One-way delay of a message between nodes.
   Duration m_PeerDelay = std::chrono::milliseconds(1);
+  /// Round-trip delay of an operation on the table.
   Duration m_TableDelay = std::chrono::milliseconds(5);
 };
 
@@ -40,7 +42,8 @@
   std::uint64_t m_RowsWritten = 0;
 };
 
-/// Invariant: events run in the order of their simulated times; events of the
+/// Simulates the nodes, their network and their table on one thread. Invariant:
+/// events run in the order of their simulated times; events of the
 /// same time run in the order in which they were scheduled.
 class Fleet {
 public:
@@ -54,11 +57,12 @@
   ///
   /// \returns the simulated time it took, at most \p Limit.
   Duration runUntilServed(Duration Limit);
-  /// Ends nodes abruptly; they neither leave nor restart.
+  /// Kills nodes without a shutdown; they do not restart.
   void kill(const std::vector<std::uint32_t> &Nodes);
   /// Writes a configuration to the table.
   void commitConfig(const Config &Next);
   Config makeConfig(std::uint64_t Version) const;
+  /// Makes all later operations on the table fail, or succeed again.
   void setTableDown(bool Down) { m_TableDown = Down; }
 
   /// Returns the number of shards that no live node may serve now.
--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -17,9 +17,12 @@
 using Json = nlohmann::json;
 using std::chrono::seconds;
 
-constexpr seconds QuietTime{30};
-constexpr seconds LossLimit{60};
-constexpr std::uint32_t RackSize = 20;
+/// Length of the measurements in steady state and without a table.
+constexpr seconds SteadyStateLength{30};
+/// A measurement of a recovery or a configuration change ends after this time.
+constexpr seconds RecoveryLimit{60};
+/// Maximum number of nodes in a rack; at most 1/16 of all nodes.
+constexpr std::uint32_t MaxRackNodes = 20;
 
 double asSeconds(Duration Value) {
   return static_cast<double>(Value.count()) / 1e6;
@@ -96,17 +99,17 @@
             {"rows_written_per_s", Rate(Table.m_RowsWritten)}}}};
 }
 
-Json quiet(Fleet &TestedFleet) {
+Json measureSteadyState(Fleet &TestedFleet) {
   TestedFleet.resetUsage();
-  TestedFleet.run(QuietTime);
-  return reportUsage(TestedFleet, QuietTime);
+  TestedFleet.run(SteadyStateLength);
+  return reportUsage(TestedFleet, SteadyStateLength);
 }
 
 /// Kills nodes and measures until every shard is served again.
-Json loss(Fleet &TestedFleet, const std::vector<std::uint32_t> &Nodes) {
+Json measureLoss(Fleet &TestedFleet, const std::vector<std::uint32_t> &Nodes) {
   TestedFleet.resetUsage();
   TestedFleet.kill(Nodes);
-  const Duration Elapsed = TestedFleet.runUntilServed(LossLimit);
+  const Duration Elapsed = TestedFleet.runUntilServed(RecoveryLimit);
   Json Result = reportUsage(TestedFleet, Elapsed);
   Result["nodes_lost"] = Nodes.size();
   Result["served_again_s"] = asSeconds(Elapsed);
@@ -115,13 +118,13 @@
   return Result;
 }
 
-Json configChange(Fleet &TestedFleet, std::uint64_t Version) {
+Json measureConfigChange(Fleet &TestedFleet, std::uint64_t Version) {
   TestedFleet.resetUsage();
   TestedFleet.commitConfig(TestedFleet.makeConfig(Version));
   Duration Elapsed{0};
   constexpr Duration Step = std::chrono::milliseconds(20);
   while (TestedFleet.nodesBehind(ConfigVersion(Version)) > 0 &&
-         Elapsed < LossLimit) {
+         Elapsed < RecoveryLimit) {
     TestedFleet.run(Step);
     Elapsed += Step;
   }
@@ -130,16 +133,16 @@
   return Result;
 }
 
-Json outage(Fleet &TestedFleet) {
+Json measureTableOutage(Fleet &TestedFleet) {
   TestedFleet.resetUsage();
   TestedFleet.setTableDown(true);
   std::size_t MaxUnserved = 0;
   constexpr Duration Step = std::chrono::milliseconds(500);
-  for (Duration Elapsed{0}; Elapsed < QuietTime; Elapsed += Step) {
+  for (Duration Elapsed{0}; Elapsed < SteadyStateLength; Elapsed += Step) {
     TestedFleet.run(Step);
     MaxUnserved = std::max(MaxUnserved, TestedFleet.unserved());
   }
-  Json Result = reportUsage(TestedFleet, QuietTime);
+  Json Result = reportUsage(TestedFleet, SteadyStateLength);
   TestedFleet.setTableDown(false);
   Result["most_unserved"] = MaxUnserved;
   TestedFleet.run(seconds(10));
@@ -147,8 +150,9 @@
   return Result;
 }
 
-std::vector<std::uint32_t> pick(const Fleet &TestedFleet, std::uint32_t Domain,
-                                std::uint32_t MaxCount) {
+std::vector<std::uint32_t> pickNodes(const Fleet &TestedFleet,
+                                     std::uint32_t Domain,
+                                     std::uint32_t MaxCount) {
   std::vector<std::uint32_t> Result;
   for (std::uint32_t Node = 0; Node < TestedFleet.size(); ++Node)
     if (TestedFleet.isAlive(Node) && TestedFleet.domainOf(Node) == Domain &&
@@ -157,7 +161,7 @@
   return Result;
 }
 
-void progress(const char *Step) { std::cerr << "  " << Step << "\n"; }
+void printProgress(const char *Step) { std::cerr << "  " << Step << "\n"; }
 
 Json measure(const FleetOptions &Options) {
   Json Result{{"nodes", Options.m_Nodes},
@@ -165,7 +169,7 @@
               {"seed", Options.m_Seed}};
   const std::uint64_t Before = residentBytes();
   Fleet TestedFleet(Options);
-  progress("forming");
+  printProgress("forming");
   const Duration Starting = TestedFleet.startTime();
   TestedFleet.run(Starting);
   Result["started_s"] = asSeconds(Starting);
@@ -174,21 +178,22 @@
   TestedFleet.run(seconds(60));
   Result["memory_bytes_per_node"] =
       (residentBytes() - Before) / Options.m_Nodes;
-  progress("quiet");
-  Result["quiet"] = quiet(TestedFleet);
-  progress("configuration change");
-  Result["config_change"] = configChange(TestedFleet, 2);
-  progress("table outage");
-  Result["table_outage"] = outage(TestedFleet);
-  progress("loss of a node");
-  Result["node_loss"] = loss(TestedFleet, pick(TestedFleet, 1, 1));
+  printProgress("quiet");
+  Result["quiet"] = measureSteadyState(TestedFleet);
+  printProgress("configuration change");
+  Result["config_change"] = measureConfigChange(TestedFleet, 2);
+  printProgress("table outage");
+  Result["table_outage"] = measureTableOutage(TestedFleet);
+  printProgress("loss of a node");
+  Result["node_loss"] = measureLoss(TestedFleet, pickNodes(TestedFleet, 1, 1));
   const std::uint32_t Rack =
-      std::min(RackSize, std::max(1U, Options.m_Nodes / 16));
-  progress("loss of a rack");
-  Result["rack_loss"] = loss(TestedFleet, pick(TestedFleet, 2, Rack));
-  progress("loss of a failure domain");
+      std::min(MaxRackNodes, std::max(1U, Options.m_Nodes / 16));
+  printProgress("loss of a rack");
+  Result["rack_loss"] =
+      measureLoss(TestedFleet, pickNodes(TestedFleet, 2, Rack));
+  printProgress("loss of a failure domain");
   Result["domain_loss"] =
-      loss(TestedFleet, pick(TestedFleet, 3, Options.m_Nodes));
+      measureLoss(TestedFleet, pickNodes(TestedFleet, 3, Options.m_Nodes));
   return Result;
 }
 
--- a/bench/core/journal.cpp
+++ b/bench/core/journal.cpp
@@ -1,5 +1,5 @@
 // JSON lines. The two lines of an order share its "ticket", which is unique in
-// the file.
+// the file. Times are in microseconds since boot.
 #include "bench/core/journal.h"
 
 #include "bench/core/clock.h"
--- a/bench/core/load_generator.cpp
+++ b/bench/core/load_generator.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-/// An entrance is avoided for this long after a failed connection.
+/// An entrance is avoided for this long after an attempt through it failed
+/// without a complete answer.
 constexpr Duration EntranceBackOff = std::chrono::seconds(1);
 constexpr Duration MinRetryDelay = std::chrono::milliseconds(20);
 constexpr long MaxIdleConnections = 4096;
--- a/bench/core/load_plan.h
+++ b/bench/core/load_plan.h
@@ -36,16 +36,16 @@
   /// "host:port" of the entrances.
   std::vector<std::string> m_Entrances;
   std::uint64_t m_Seed = 1;
-  /// Most attempts of one request, including the first.
+  /// Maximum number of attempts of one request, including the first.
   std::uint32_t m_MaxAttempts = 200;
   /// A caller makes no further attempt this long after the intended send time.
   Duration m_GiveUpAfter = std::chrono::seconds(8);
-  /// Most attempts of a non-idempotent request with an unknown outcome after
-  /// which the caller sends it again.
+  /// Maximum number of attempts with an unknown outcome after which the caller
+  /// still retries a non-idempotent request.
   std::uint32_t m_UnknownRetries = 2;
-  /// Share of the requests with a known owner whose first attempt goes to its
-  /// entrance. The others, and all retries, go to a random one
-  /// that is not backed off from.
+  /// Share of the requests to keys with a known owner whose first attempt goes
+  /// to the entrance of the owner. All other attempts go to a random entrance,
+  /// preferably one without a recent failure.
   double m_HintShare = 0.7;
   /// The entrances are targets, and an answer with status 200 counts as done.
   bool m_Direct = false;
@@ -55,6 +55,7 @@
 
 /// How one attempt ended, as seen by its caller.
 enum class Answer : std::uint8_t {
+  // The outcomes that a daemon answers; see balsamwheel::Outcome.
   Done,
   NotRun,
   Unknown,
--- a/bench/core/measures.cpp
+++ b/bench/core/measures.cpp
@@ -56,7 +56,7 @@
 
 using ShardKey = std::pair<std::string, std::uint32_t>;
 
-/// A time in which a shard was unavailable, as seen by one caller.
+/// A period in which a shard was unavailable, as seen by one caller.
 struct Outage {
   TimePoint m_From;
   TimePoint m_To;
@@ -97,27 +97,28 @@
 /// whole of a slow attempt.
 double unavailableSeconds(std::vector<ShardAttempt> Attempts) {
   std::ranges::sort(Attempts, {}, &ShardAttempt::m_Begin);
-  TimePoint Next = TimePoint::max();
+  TimePoint NextServedEnd = TimePoint::max();
   std::vector<Outage> Outages;
   for (auto Each = Attempts.rbegin(); Each != Attempts.rend(); ++Each) {
     if (Each->m_Served) {
-      Next = Each->m_End;
+      NextServedEnd = Each->m_End;
       if (Each->m_End - Each->m_Begin > SlowAttemptThreshold)
         Outages.push_back({Each->m_Begin, Each->m_End});
       continue;
     }
-    Outages.push_back(
-        {Each->m_Begin, Next == TimePoint::max() ? Each->m_End : Next});
+    Outages.push_back({Each->m_Begin, NextServedEnd == TimePoint::max()
+                                          ? Each->m_End
+                                          : NextServedEnd});
   }
   std::ranges::sort(Outages, {}, &Outage::m_From);
   Duration Sum{0};
-  TimePoint Covered{};
+  TimePoint CoveredUntil{};
   for (const Outage &Each : Outages) {
-    const TimePoint From = std::max(Each.m_From, Covered);
+    const TimePoint From = std::max(Each.m_From, CoveredUntil);
     if (Each.m_To <= From)
       continue;
     Sum += Each.m_To - From;
-    Covered = Each.m_To;
+    CoveredUntil = Each.m_To;
   }
   return toSeconds(Sum);
 }
--- a/bench/core/measures.h
+++ b/bench/core/measures.h
@@ -44,10 +44,13 @@
   Quantiles m_UnavailableSeconds;
   /// The same over the shards with any unavailable time.
   Quantiles m_UnavailableSecondsOfHitShards;
+  /// Number of shards with any unavailable time.
   std::size_t m_ShardsHit = 0;
+  /// Number of shards that received requests.
   std::size_t m_Shards = 0;
   /// Largest number of orders of an instance, divided by the mean over the
-  /// instances of its service. Of the first window and the worst service.
+  /// instances of its service; for the first window and the service with the
+  /// highest value.
   double m_Imbalance = 0;
   /// Orders that each instance started in the first window.
   std::map<std::string, std::uint64_t> m_OrdersByInstance;
--- a/bench/core/oracle.h
+++ b/bench/core/oracle.h
@@ -49,7 +49,7 @@
   std::vector<Execution> m_Orders;
 };
 
-/// A time in which an instance must not start orders.
+/// A period in which an instance must not start orders.
 struct NoStartWindow {
   std::string m_Instance;
   TimePoint m_From;
--- a/bench/core/platform_stand_in.h
+++ b/bench/core/platform_stand_in.h
@@ -24,6 +24,7 @@
 
 struct PlatformFault {
   PlatformMode m_Mode = PlatformMode::Ok;
+  /// Delay of each answer, for the mode Slow.
   Duration m_Delay{0};
   /// Names of the instances that are affected; empty for all clients.
   std::set<std::string> m_Instances;
--- a/bench/core/process.cpp
+++ b/bench/core/process.cpp
@@ -22,9 +22,9 @@
 
 namespace {
 
-/// Range of pickFreePort(), the end excluded.
+/// Range of the ports of pickFreePort(); EndPort is excluded.
 constexpr std::uint16_t FirstPort = 20'000;
-constexpr std::uint16_t LastPort = 32'000;
+constexpr std::uint16_t EndPort = 32'000;
 constexpr int ExecFailedExitCode = 127;
 
 [[noreturn]] void execChild(const ProcessOptions &Options,
@@ -169,7 +169,7 @@
   static std::uint32_t Next = static_cast<std::uint32_t>(getpid()) * 37U;
   while (true) {
     const auto Port =
-        static_cast<std::uint16_t>(FirstPort + Next++ % (LastPort - FirstPort));
+        static_cast<std::uint16_t>(FirstPort + Next++ % (EndPort - FirstPort));
     if (canBind(Port) && Returned.insert(Port).second)
       return Port;
   }
--- a/bench/core/relay.cpp
+++ b/bench/core/relay.cpp
@@ -64,7 +64,7 @@
   /// Relay port of the daemon that opened the connection, from its Hello
   /// message; 0 until that arrives.
   std::uint16_t m_ClientListenPort = 0;
-  /// Blocked for good.
+  /// Blocked permanently.
   bool m_Silent = false;
   bool m_Closed = false;
 };
--- a/bench/core/relay.h
+++ b/bench/core/relay.h
@@ -1,5 +1,5 @@
 // TCP relays in front of the daemons' peer ports, to inject network faults:
-// they can stop relaying a connection for good, or until a partition heals.
+// they can stop relaying a connection permanently, or until a partition heals.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,8 @@
   void add(std::uint16_t ListenPort, std::uint16_t ServerPort);
   void start();
 
-  /// Blocks all connections that are open now, for good. New ones are relayed.
+  /// Blocks all connections that are open now permanently. New ones are
+  /// relayed.
   void silenceOpenConnections();
   /// Blocks the connections between these daemons and all others.
   ///
--- a/bench/core/rig.cpp
+++ b/bench/core/rig.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// No order may start in a domain later than this after it was taken out.
+/// Time after a domain was taken out from which no order may start in it.
 constexpr Duration NoStartGrace = std::chrono::seconds(3);
 constexpr Duration ShutdownTimeout = std::chrono::seconds(20);
 
--- a/bench/core/rig.h
+++ b/bench/core/rig.h
@@ -28,8 +28,8 @@
     return m_Cluster.indexOf(Instance);
   }
 
-  /// Takes a failure domain out of service. Orders that start there later than
-  /// 3 s after that are violations.
+  /// Takes a failure domain out of service. Orders that start in it more than
+  /// 3 s after the start of this call are violations.
   void takeDomainOut(const std::string &Domain);
   /// Takes a failure domain back into service.
   void takeDomainIn(const std::string &Domain);
--- a/bench/core/table_store.cpp
+++ b/bench/core/table_store.cpp
@@ -4,8 +4,8 @@
 namespace balsamwheel::bench {
 
 Row TableStore::currentRow(const std::string &Key) const {
-  const auto Found = m_Cells.find(Key);
-  if (Found == m_Cells.end() || !Found->second.m_Present)
+  const auto Found = m_Rows.find(Key);
+  if (Found == m_Rows.end() || !Found->second.m_Present)
     return {.m_Key = RowKey(Key), .m_Version = RowVersion(0), .m_Value = ""};
   return {.m_Key = RowKey(Key),
           .m_Version = RowVersion(Found->second.m_Version),
@@ -18,10 +18,11 @@
   for (const RowKey &Key : Read.m_Keys)
     Rows.push_back(currentRow(Key.value()));
   for (const std::string &Prefix : Read.m_Prefixes)
-    for (auto Cell = m_Cells.lower_bound(Prefix);
-         Cell != m_Cells.end() && Cell->first.starts_with(Prefix); ++Cell)
-      if (Cell->second.m_Present)
-        Rows.push_back(currentRow(Cell->first));
+    for (auto StoredRow = m_Rows.lower_bound(Prefix);
+         StoredRow != m_Rows.end() && StoredRow->first.starts_with(Prefix);
+         ++StoredRow)
+      if (StoredRow->second.m_Present)
+        Rows.push_back(currentRow(StoredRow->first));
   return Rows;
 }
 
@@ -37,7 +38,7 @@
     return Reply;
   }
   for (const RowWrite &Write : Transaction.m_Writes) {
-    Cell &Updated = m_Cells[Write.m_Key.value()];
+    StoredRow &Updated = m_Rows[Write.m_Key.value()];
     ++Updated.m_Version;
     Updated.m_Present = Write.m_Value.has_value();
     Updated.m_Value = Write.m_Value.value_or("");
--- a/bench/core/table_store.h
+++ b/bench/core/table_store.h
@@ -23,7 +23,7 @@
   TableReply commit(const Transaction &Transaction);
 
 private:
-  struct Cell {
+  struct StoredRow {
     /// Kept when the row is deleted.
     std::uint64_t m_Version = 0;
     std::string m_Value;
@@ -32,7 +32,7 @@
 
   Row currentRow(const std::string &Key) const;
 
-  std::map<std::string, Cell> m_Cells;
+  std::map<std::string, StoredRow> m_Rows;
 };
 
 } // namespace balsamwheel::bench
--- a/bench/core/target_model.cpp
+++ b/bench/core/target_model.cpp
@@ -17,7 +17,7 @@
     : m_Options(Options),
       m_ColdSince(Options.m_StartsCold ? Now : Now - Options.m_WarmUp) {}
 
-std::uint32_t TargetModel::workingSlots(TimePoint Now) const {
+std::uint32_t TargetModel::usableSlots(TimePoint Now) const {
   const double Age = std::chrono::duration<double>(Now - m_ColdSince).count();
   const double WarmUp =
       std::chrono::duration<double>(m_Options.m_WarmUp).count();
@@ -35,7 +35,7 @@
     Next = std::min({Next, Each.m_EndsAt, Each.m_Deadline});
   for (const Waiting &Each : m_Waiting)
     Next = std::min(Next, Each.m_Deadline);
-  const bool Warm = workingSlots(Now) >= m_Options.m_Slots;
+  const bool Warm = usableSlots(Now) >= m_Options.m_Slots;
   if (!m_Waiting.empty() && !Warm)
     Next = std::min<TimePoint>(Next, Now + WarmUpTick);
   return Next;
@@ -102,7 +102,7 @@
 }
 
 void TargetModel::startWaiting(TimePoint Now) {
-  while (!m_Waiting.empty() && m_Running.size() < workingSlots(Now)) {
+  while (!m_Waiting.empty() && m_Running.size() < usableSlots(Now)) {
     Waiting Next = std::move(m_Waiting.front());
     m_Waiting.pop_front();
     TargetOrder &Order = Next.m_Order;
@@ -159,10 +159,10 @@
 }
 
 void TargetModel::checkCollapse(TimePoint Now) {
-  const std::uint32_t Working = workingSlots(Now);
+  const std::uint32_t Usable = usableSlots(Now);
   const auto Orders = static_cast<double>(m_Running.size() + m_Waiting.size());
-  const bool Warm = Working >= m_Options.m_Slots;
-  if (Warm || Orders <= m_Options.m_CollapseFactor * Working) {
+  const bool Warm = Usable >= m_Options.m_Slots;
+  if (Warm || Orders <= m_Options.m_CollapseFactor * Usable) {
     m_OverloadedSince.reset();
     return;
   }
--- a/bench/core/target_model.h
+++ b/bench/core/target_model.h
@@ -121,7 +121,7 @@
   /// Returns running and waiting orders per slot.
   double load() const;
   /// Returns the slots that are usable at this time.
-  std::uint32_t workingSlots(TimePoint Now) const;
+  std::uint32_t usableSlots(TimePoint Now) const;
   bool restarting(TimePoint Now) const { return Now < m_DownUntil; }
   std::uint64_t collapses() const { return m_Collapses; }
   /// Returns the largest number of orders, running and waiting, so far.
--- a/bench/core/target_stand_in.cpp
+++ b/bench/core/target_stand_in.cpp
@@ -13,6 +13,7 @@
 
 using Json = nlohmann::json;
 
+/// Maximum time between two advances of the model.
 constexpr Duration MaxModelWait = std::chrono::milliseconds(100);
 constexpr Duration LoadSamplePeriod = std::chrono::milliseconds(200);
 constexpr Duration AnnouncePeriod = std::chrono::seconds(1);
--- a/bench/policy/experiments.cpp
+++ b/bench/policy/experiments.cpp
@@ -18,11 +18,18 @@
 using std::chrono::seconds;
 using Comparisons = std::vector<Comparison>;
 
+/// Requests that arrive before this time are not measured.
 constexpr Duration SettleTime = seconds(20);
+/// Maximum p99 latency of urgent requests during an overload of bulk requests,
+/// as a multiple of that without overload.
 constexpr double UrgentP99Goal = 1.5;
+/// Minimum goodput at twice the capacity, as a fraction of the peak goodput.
 constexpr double GoodputGoal = 0.95;
+/// Maximum p99 latency with one slow target, as a multiple of that without.
 constexpr double SlowedP99Goal = 2;
-constexpr double ExtraWorkGoal = 0.03;
+/// Maximum number of hedges and retries per request.
+constexpr double ExtraSendsGoal = 0.03;
+/// Maximum number of attempts per request while all attempts fail.
 constexpr double RetryLoadGoal = 1.1;
 
 /// Offered load of each class as a fraction of the capacity of a warm target.
@@ -40,15 +47,15 @@
 std::vector<ClassLoad> makeLoad(const ClassLoadShares &Offered) {
   return {{.m_Class = Urgency::Urgent,
            .m_OfferedLoad = Offered.m_Urgent,
-           .m_MeanWork = milliseconds(5),
+           .m_MeanServiceTime = milliseconds(5),
            .m_Deadline = milliseconds(250)},
           {.m_Class = Urgency::Interactive,
            .m_OfferedLoad = Offered.m_Interactive,
-           .m_MeanWork = milliseconds(10),
+           .m_MeanServiceTime = milliseconds(10),
            .m_Deadline = seconds(1)},
           {.m_Class = Urgency::Bulk,
            .m_OfferedLoad = Offered.m_Bulk,
-           .m_MeanWork = milliseconds(40),
+           .m_MeanServiceTime = milliseconds(40),
            .m_Deadline = seconds(5)}};
 }
 
@@ -66,24 +73,24 @@
   return Result;
 }
 
-void addColdStartComparisons(Comparisons &Into, const std::string &Experiment,
+void addColdStartComparisons(Comparisons &Output, const std::string &Experiment,
                              const std::string &Fault,
                              const GateRunOptions &Options) {
   const GatePair Runs = runGatePair(Options);
-  Into.push_back(
+  Output.push_back(
       {.m_Experiment = Experiment,
        .m_Measure = "collapses, " + Fault,
        .m_BaselineName = "fixed limit",
        .m_Policy = static_cast<double>(Runs.m_Policy.m_Collapses),
        .m_Baseline = static_cast<double>(Runs.m_Baseline.m_Collapses),
        .m_Goal = 0});
-  Into.push_back({.m_Experiment = Experiment,
-                  .m_Measure = "goodput, " + Fault,
-                  .m_BaselineName = "fixed limit",
-                  .m_Policy = Runs.m_Policy.m_Goodput,
-                  .m_Baseline = Runs.m_Baseline.m_Goodput,
-                  .m_Better = Better::Higher,
-                  .m_Goal = std::nullopt});
+  Output.push_back({.m_Experiment = Experiment,
+                    .m_Measure = "goodput, " + Fault,
+                    .m_BaselineName = "fixed limit",
+                    .m_Policy = Runs.m_Policy.m_Goodput,
+                    .m_Baseline = Runs.m_Baseline.m_Goodput,
+                    .m_Better = Better::Higher,
+                    .m_Goal = std::nullopt});
 }
 
 Comparisons runColdStart(std::uint64_t Seed) {
@@ -226,7 +233,7 @@
                     .m_BaselineName = "no hedges",
                     .m_Policy = Policy.m_ExtraSendShare,
                     .m_Baseline = NoHedge.m_ExtraSendShare,
-                    .m_Goal = ExtraWorkGoal});
+                    .m_Goal = ExtraSendsGoal});
   return Result;
 }
 
@@ -250,12 +257,12 @@
            .m_Goal = std::nullopt}};
 }
 
-// Time for which a target has to be slow before its shards move. The delayed
-// move is late enough that a slow period of a few seconds moves no shard.
+/// Times for which a target has to be slow before its shards move. The longer
+/// one is chosen so that a slow period of a few seconds moves no shard.
 constexpr Duration DelayedMove = seconds(5);
 constexpr Duration ImmediateMove = milliseconds(500);
 
-void addStragglerComparisons(Comparisons &Into,
+void addStragglerComparisons(Comparisons &Output,
                              const std::string &SlowPeriodName, Duration Length,
                              std::uint64_t Seed) {
   StragglerRunOptions Options;
@@ -269,12 +276,12 @@
   const StragglerRunResult WithDelayedMove = runStraggler(Options);
   const auto Add = [&](const char *Measure, const char *Name, double Policy,
                        double Baseline, std::optional<double> Goal) {
-    Into.push_back({.m_Experiment = "straggler-keys",
-                    .m_Measure = Measure + SlowPeriodName,
-                    .m_BaselineName = Name,
-                    .m_Policy = Policy,
-                    .m_Baseline = Baseline,
-                    .m_Goal = Goal});
+    Output.push_back({.m_Experiment = "straggler-keys",
+                      .m_Measure = Measure + SlowPeriodName,
+                      .m_BaselineName = Name,
+                      .m_Policy = Policy,
+                      .m_Baseline = Baseline,
+                      .m_Goal = Goal});
   };
   const bool Brief = Length < DelayedMove;
   Add("requests lost, ", "wait it out", WithDelayedMove.lostShare(),
--- a/bench/policy/gate_run.cpp
+++ b/bench/policy/gate_run.cpp
@@ -22,7 +22,7 @@
     m_Result.m_Collapses = m_Target.target().collapses();
     const Duration Measured = m_Options.m_Length - m_Options.m_MeasureFrom;
     m_Result.m_Goodput =
-        static_cast<double>(m_WorkInTime.count()) /
+        static_cast<double>(m_InTimeServiceTime.count()) /
         static_cast<double>(Measured.count() * m_Options.m_Target.m_Slots);
     return std::move(m_Result);
   }
@@ -45,7 +45,7 @@
   void scheduleArrival(const ClassLoad &Load) {
     if (Load.m_OfferedLoad <= 0)
       return;
-    const double MeanGap = static_cast<double>(Load.m_MeanWork.count()) /
+    const double MeanGap = static_cast<double>(Load.m_MeanServiceTime.count()) /
                            (Load.m_OfferedLoad * m_Options.m_Target.m_Slots);
     m_Loop.after(m_Arrivals.interarrivalTime(MeanGap), [this, Load] {
       scheduleArrival(Load);
@@ -54,35 +54,36 @@
   }
 
   void onArrival(const ClassLoad &Load) {
-    const Duration Work = m_Arrivals.serviceTime(Load.m_MeanWork);
+    const Duration ServiceTime = m_Arrivals.serviceTime(Load.m_MeanServiceTime);
     const TimePoint Arrival = m_Loop.now();
     const Urgency Class =
         m_Options.m_UseClasses ? Load.m_Class : Urgency::Interactive;
     const bool Measured = Arrival >= TimePoint(m_Options.m_MeasureFrom);
     if (Measured)
       ++m_Result.of(Load.m_Class).m_Offered;
-    m_Target.send(Class, Work, Arrival + Load.m_Deadline,
-                  [this, Load, Work, Arrival, Measured](SendResult Result) {
-                    if (Measured)
-                      count(Load, Work, m_Loop.now() - Arrival, Result);
-                  });
+    m_Target.send(
+        Class, ServiceTime, Arrival + Load.m_Deadline,
+        [this, Load, ServiceTime, Arrival, Measured](SendResult Result) {
+          if (Measured)
+            count(Load, ServiceTime, m_Loop.now() - Arrival, Result);
+        });
   }
 
-  void count(const ClassLoad &Load, Duration Work, Duration Latency,
+  void count(const ClassLoad &Load, Duration ServiceTime, Duration Latency,
              SendResult Result) {
-    ClassResult &Into = m_Result.of(Load.m_Class);
+    ClassResult &ClassCounts = m_Result.of(Load.m_Class);
     // The caller of an unanswered request waits until its deadline.
-    Into.m_Latency.add(Result == SendResult::Answered ? Latency
-                                                      : Load.m_Deadline);
+    ClassCounts.m_Latency.add(Result == SendResult::Answered ? Latency
+                                                             : Load.m_Deadline);
     if (Result == SendResult::Refused) {
-      ++Into.m_Refused;
+      ++ClassCounts.m_Refused;
     } else if (Result == SendResult::Failed) {
-      ++Into.m_Failed;
+      ++ClassCounts.m_Failed;
     } else if (Latency > Load.m_Deadline) {
-      ++Into.m_Late;
+      ++ClassCounts.m_Late;
     } else {
-      ++Into.m_InTime;
-      m_WorkInTime += Work;
+      ++ClassCounts.m_InTime;
+      m_InTimeServiceTime += ServiceTime;
     }
   }
 
@@ -90,7 +91,7 @@
   EventLoop m_Loop;
   GatedTarget m_Target;
   Arrivals m_Arrivals;
-  Duration m_WorkInTime{0};
+  Duration m_InTimeServiceTime{0};
   GateRunResult m_Result;
 };
 
--- a/bench/policy/gate_run.h
+++ b/bench/policy/gate_run.h
@@ -24,14 +24,14 @@
   /// Offered load as a fraction of the capacity of the warm target.
   double m_OfferedLoad = 0;
   /// Mean service time on a target that is neither overloaded nor slowed.
-  Duration m_MeanWork = std::chrono::milliseconds(10);
+  Duration m_MeanServiceTime = std::chrono::milliseconds(10);
   /// Time from the arrival to the deadline.
   Duration m_Deadline = std::chrono::seconds(1);
 };
 
 struct GateRunOptions {
   AdmissionOptions m_Gate;
-  TargetModel m_Target;
+  ModelledTargetOptions m_Target;
   std::vector<ClassLoad> m_Load;
   /// If false, the gate sees all requests as the same class.
   bool m_UseClasses = true;
--- a/bench/policy/gated_target.cpp
+++ b/bench/policy/gated_target.cpp
@@ -7,22 +7,23 @@
 
 namespace {
 
+/// Period of the checks for requests that can start or have expired.
 constexpr Duration SweepPeriod = std::chrono::milliseconds(5);
 
 } // namespace
 
 GatedTarget::GatedTarget(EventLoop &Loop, const AdmissionOptions &Gate,
-                         const TargetModel &Model)
-    : m_Loop(Loop), m_Gate(Gate, Loop.now()), m_Target(Loop, Model) {
+                         const ModelledTargetOptions &TargetOptions)
+    : m_Loop(Loop), m_Gate(Gate, Loop.now()), m_Target(Loop, TargetOptions) {
   sweep();
 }
 
-RequestHandle GatedTarget::send(Urgency Class, Duration Work,
+RequestHandle GatedTarget::send(Urgency Class, Duration ServiceTime,
                                 TimePoint Deadline,
                                 CompletionHandler OnCompletion) {
   const RequestHandle Handle(m_NextHandle++);
   m_Sends[Handle] = {.m_Class = Class,
-                     .m_Work = Work,
+                     .m_ServiceTime = ServiceTime,
                      .m_OnCompletion = std::move(OnCompletion)};
   const AdmissionDecision Decision =
       m_Gate.offer(Handle, Class, Deadline, m_Loop.now());
@@ -51,10 +52,9 @@
 
 void GatedTarget::start(RequestHandle Handle) {
   Send &Started = m_Sends.at(Handle);
-  Started.m_TargetRequest =
-      m_Target.start(Started.m_Work, [this, Handle](const OrderResult &Result) {
-        finish(Handle, Result);
-      });
+  Started.m_TargetRequest = m_Target.start(
+      Started.m_ServiceTime,
+      [this, Handle](const OrderResult &Result) { finish(Handle, Result); });
 }
 
 void GatedTarget::finish(RequestHandle Handle, const OrderResult &Result) {
--- a/bench/policy/gated_target.h
+++ b/bench/policy/gated_target.h
@@ -16,15 +16,15 @@
   using CompletionHandler = std::function<void(SendResult)>;
 
   GatedTarget(EventLoop &Loop, const AdmissionOptions &Gate,
-              const TargetModel &Model);
+              const ModelledTargetOptions &TargetOptions);
 
   /// Sends a request.
   ///
-  /// \param Work its service time on a target that is neither overloaded nor
-  /// slowed.
+  /// \param ServiceTime its service time on a target that is neither overloaded
+  /// nor slowed.
   /// \param OnCompletion called once, unless the request is cancelled.
   /// \returns a handle for cancel().
-  RequestHandle send(Urgency Class, Duration Work, TimePoint Deadline,
+  RequestHandle send(Urgency Class, Duration ServiceTime, TimePoint Deadline,
                      CompletionHandler OnCompletion);
   /// Cancels a request that waits or runs; its completion handler is not
   /// called.
@@ -34,7 +34,7 @@
 private:
   struct Send {
     Urgency m_Class = Urgency::Interactive;
-    Duration m_Work{0};
+    Duration m_ServiceTime{0};
     CompletionHandler m_OnCompletion;
     // Id of the running request at the target; 0 while it waits in the queue.
     std::uint64_t m_TargetRequest = 0;
--- a/bench/policy/modelled_target.cpp
+++ b/bench/policy/modelled_target.cpp
@@ -8,22 +8,24 @@
 
 namespace {
 
+/// Period of the checks for overload and of the updates during the warm-up.
 constexpr Duration TickPeriod = std::chrono::milliseconds(10);
+/// Time until a target that is down fails a request.
 constexpr Duration RefusalLatency = std::chrono::milliseconds(1);
 // A request with at most this much work left counts as finished, microseconds.
 constexpr double RemainingWorkTolerance = 1;
 
 } // namespace
 
-ModelledTarget::ModelledTarget(EventLoop &Loop, TargetModel Model)
-    : m_Loop(Loop), m_Model(Model), m_LastAdvance(Loop.now()),
+ModelledTarget::ModelledTarget(EventLoop &Loop, ModelledTargetOptions Options)
+    : m_Loop(Loop), m_Options(Options), m_LastAdvance(Loop.now()),
       m_ColdSince(Loop.now()), m_LastSustainable(Loop.now()) {
-  if (!Model.m_StartsCold)
-    m_ColdSince -= Model.m_WarmUpTime;
+  if (!Options.m_StartsCold)
+    m_ColdSince -= Options.m_WarmUpTime;
   tick();
 }
 
-std::uint64_t ModelledTarget::start(Duration Work,
+std::uint64_t ModelledTarget::start(Duration ServiceTime,
                                     CompletionHandler OnCompletion) {
   const std::uint64_t Request = m_NextRequest++;
   if (m_Loop.now() < m_DownUntil) {
@@ -33,7 +35,7 @@
     return Request;
   }
   advance();
-  m_Running[Request] = {.m_WorkLeft = static_cast<double>(Work.count()),
+  m_Running[Request] = {.m_WorkLeft = static_cast<double>(ServiceTime.count()),
                         .m_Start = m_Loop.now(),
                         .m_OnCompletion = std::move(OnCompletion)};
   rescheduleNext();
@@ -51,7 +53,7 @@
   m_ColdSince = m_Loop.now();
   m_LastSustainable = m_Loop.now();
   if (FailsRequests) {
-    m_DownUntil = m_Loop.now() + m_Model.m_Downtime;
+    m_DownUntil = m_Loop.now() + m_Options.m_Downtime;
     m_ColdSince = m_DownUntil;
     failAll();
   }
@@ -64,18 +66,18 @@
   rescheduleNext();
 }
 
-double ModelledTarget::effectiveSlots() const {
+double ModelledTarget::usableSlots() const {
   const auto Age = static_cast<double>((m_Loop.now() - m_ColdSince).count());
   const double WarmUpProgress = std::clamp(
-      Age / static_cast<double>(m_Model.m_WarmUpTime.count()), 0.0, 1.0);
+      Age / static_cast<double>(m_Options.m_WarmUpTime.count()), 0.0, 1.0);
   const double Share =
-      m_Model.m_ColdShare + (1 - m_Model.m_ColdShare) * WarmUpProgress;
-  return Share * m_Model.m_Slots;
+      m_Options.m_ColdShare + (1 - m_Options.m_ColdShare) * WarmUpProgress;
+  return Share * m_Options.m_Slots;
 }
 
 double ModelledTarget::speed() const {
   const auto Count = static_cast<double>(m_Running.size());
-  return std::min(1.0, effectiveSlots() / std::max(Count, 1.0)) / m_Slowness;
+  return std::min(1.0, usableSlots() / std::max(Count, 1.0)) / m_Slowness;
 }
 
 void ModelledTarget::advance() {
@@ -91,10 +93,10 @@
   ++m_Generation;
   if (m_Running.empty())
     return;
-  double Least = m_Running.begin()->second.m_WorkLeft;
+  double LeastWorkLeft = m_Running.begin()->second.m_WorkLeft;
   for (const auto &[Request, State] : m_Running)
-    Least = std::min(Least, State.m_WorkLeft);
-  const double Time = std::max(Least, 0.0) / speed() + 1;
+    LeastWorkLeft = std::min(LeastWorkLeft, State.m_WorkLeft);
+  const double Time = std::max(LeastWorkLeft, 0.0) / speed() + 1;
   m_Loop.after(Duration(static_cast<Duration::rep>(Time)),
                [this, Generation = m_Generation] { complete(Generation); });
 }
@@ -118,12 +120,12 @@
 void ModelledTarget::tick() {
   m_Loop.after(TickPeriod, [this] { tick(); });
   const auto Count = static_cast<double>(m_Running.size());
-  if (Count <= effectiveSlots() * m_Model.m_OverloadRatio)
+  if (Count <= usableSlots() * m_Options.m_OverloadRatio)
     m_LastSustainable = m_Loop.now();
-  if (m_Loop.now() - m_LastSustainable > m_Model.m_OverloadTolerance) {
+  if (m_Loop.now() - m_LastSustainable > m_Options.m_OverloadTolerance) {
     ++m_Collapses;
     becomeCold(/*FailsRequests=*/true);
-  } else if (m_Loop.now() - m_ColdSince < m_Model.m_WarmUpTime) {
+  } else if (m_Loop.now() - m_ColdSince < m_Options.m_WarmUpTime) {
     advance();
     rescheduleNext();
   }
--- a/bench/policy/modelled_target.h
+++ b/bench/policy/modelled_target.h
@@ -9,7 +9,7 @@
 
 namespace balsamwheel::policy {
 
-struct TargetModel {
+struct ModelledTargetOptions {
   std::uint32_t m_Slots = 10;
   /// Fraction of the slots that a cold target can use right after its start.
   double m_ColdShare = 0.2;
@@ -31,14 +31,14 @@
 public:
   using CompletionHandler = std::function<void(const OrderResult &)>;
 
-  ModelledTarget(EventLoop &Loop, TargetModel Model);
+  ModelledTarget(EventLoop &Loop, ModelledTargetOptions Options);
 
   /// Starts a request.
   ///
-  /// \param Work its service time on a target that is neither overloaded nor
-  /// slowed.
+  /// \param ServiceTime its service time on a target that is neither overloaded
+  /// nor slowed.
   /// \returns an id for cancel().
-  std::uint64_t start(Duration Work, CompletionHandler OnCompletion);
+  std::uint64_t start(Duration ServiceTime, CompletionHandler OnCompletion);
   void cancel(std::uint64_t Request);
   /// Starts the warm-up again. With \p FailsRequests the requests in progress
   /// fail and the target refuses requests for m_Downtime.
@@ -50,14 +50,16 @@
 
 private:
   struct RunningRequest {
+    /// Remaining service time at undisturbed speed, in microseconds.
     double m_WorkLeft = 0;
     TimePoint m_Start;
     CompletionHandler m_OnCompletion;
   };
 
-  /// Number of slots that can be used at the present warm-up state.
-  double effectiveSlots() const;
-  /// Progress of each request, as a fraction of its undisturbed speed.
+  /// Returns the number of slots that can be used in the current state of the
+  /// warm-up.
+  double usableSlots() const;
+  /// Returns the speed of each request, as a fraction of its undisturbed speed.
   double speed() const;
   void advance();
   void rescheduleNext();
@@ -66,7 +68,7 @@
   void failAll();
 
   EventLoop &m_Loop;
-  TargetModel m_Model;
+  ModelledTargetOptions m_Options;
   std::unordered_map<std::uint64_t, RunningRequest> m_Running;
   std::uint64_t m_NextRequest = 1;
   // Completion events scheduled in an earlier generation are ignored.
@@ -76,6 +78,7 @@
   TimePoint m_DownUntil;
   // Last time at which the load was within m_OverloadRatio.
   TimePoint m_LastSustainable;
+  /// Factor on the service times of all requests.
   double m_Slowness = 1;
   std::uint32_t m_Collapses = 0;
 };
--- a/bench/policy/picker_run.cpp
+++ b/bench/policy/picker_run.cpp
@@ -25,7 +25,7 @@
 
 struct Request {
   std::size_t m_Entrance = 0;
-  Duration m_Work{0};
+  Duration m_ServiceTime{0};
   TimePoint m_Arrival;
   bool m_Measured = false;
   std::vector<Attempt> m_OpenAttempts;
@@ -63,8 +63,9 @@
 private:
   void scheduleArrival() {
     const double Slots = m_Options.m_Targets * m_Options.m_Target.m_Slots;
-    const double MeanGap = static_cast<double>(m_Options.m_MeanWork.count()) /
-                           (m_Options.m_OfferedLoad * Slots);
+    const double MeanGap =
+        static_cast<double>(m_Options.m_MeanServiceTime.count()) /
+        (m_Options.m_OfferedLoad * Slots);
     m_Loop.after(m_Arrivals.interarrivalTime(MeanGap), [this] {
       scheduleArrival();
       onArrival();
@@ -75,7 +76,8 @@
     const std::uint64_t Id = m_NextRequest++;
     Request &NewRequest = m_Requests[Id];
     NewRequest.m_Entrance = Id % m_Entrances.size();
-    NewRequest.m_Work = m_Arrivals.serviceTime(m_Options.m_MeanWork);
+    NewRequest.m_ServiceTime =
+        m_Arrivals.serviceTime(m_Options.m_MeanServiceTime);
     NewRequest.m_Arrival = m_Loop.now();
     NewRequest.m_Measured = m_Loop.now() >= TimePoint(m_Options.m_MeasureFrom);
     m_Result.m_Offered += NewRequest.m_Measured ? 1 : 0;
@@ -100,7 +102,7 @@
     }
     Sent.m_Tried.push_back(Target);
     const RequestHandle Handle = gatedTarget(Target).send(
-        Urgency::Interactive, Sent.m_Work,
+        Urgency::Interactive, Sent.m_ServiceTime,
         Sent.m_Arrival + m_Options.m_Deadline,
         [this, Id, Target](SendResult Result) { onEnd(Id, Target, Result); });
     Sent.m_OpenAttempts.push_back({Target, Handle, m_Loop.now()});
--- a/bench/policy/picker_run.h
+++ b/bench/policy/picker_run.h
@@ -11,13 +11,13 @@
 struct PickerRunOptions {
   PickerOptions m_Picker;
   AdmissionOptions m_Gate;
-  TargetModel m_Target;
+  ModelledTargetOptions m_Target;
   std::uint32_t m_Targets = 3;
   /// Number of daemons that accept callers' requests; each has its own picker.
   std::uint32_t m_Entrances = 3;
   /// Offered load as a fraction of the capacity of all targets.
   double m_OfferedLoad = 0.4;
-  Duration m_MeanWork = std::chrono::milliseconds(20);
+  Duration m_MeanServiceTime = std::chrono::milliseconds(20);
   Duration m_Deadline = std::chrono::seconds(2);
   /// Period in which the first target is slow.
   std::optional<SlowPeriod> m_Slow;
--- a/bench/policy/straggler_run.cpp
+++ b/bench/policy/straggler_run.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Duration CheckPeriod = std::chrono::milliseconds(100);
-constexpr Duration MeanWork = std::chrono::milliseconds(10);
+constexpr Duration MeanServiceTime = std::chrono::milliseconds(10);
 constexpr Duration Deadline = std::chrono::seconds(1);
 // Weight of a new sample in the moving average.
 constexpr double SmoothingFactor = 1.0 / 16;
@@ -45,7 +45,7 @@
 private:
   void scheduleArrival() {
     const double Slots = m_Options.m_Owners * m_Options.m_Target.m_Slots;
-    const double MeanGap = static_cast<double>(MeanWork.count()) /
+    const double MeanGap = static_cast<double>(MeanServiceTime.count()) /
                            (m_Options.m_OfferedLoad * Slots);
     m_Loop.after(m_Arrivals.interarrivalTime(MeanGap), [this] {
       scheduleArrival();
@@ -60,7 +60,7 @@
     const bool Measured = Arrival >= TimePoint(m_Options.m_MeasureFrom);
     m_Result.m_Offered += Measured ? 1 : 0;
     m_Targets.at(Owner)->send(
-        Urgency::Interactive, m_Arrivals.serviceTime(MeanWork),
+        Urgency::Interactive, m_Arrivals.serviceTime(MeanServiceTime),
         Arrival + Deadline,
         [this, Owner, Arrival, Measured](SendResult Result) {
           onEnd(Owner, m_Loop.now() - Arrival, Measured, Result);
@@ -84,7 +84,7 @@
   void checkLatency() {
     m_Loop.after(CheckPeriod, [this] { checkLatency(); });
     const bool Slow =
-        m_SmoothedLatency > static_cast<double>(MeanWork.count()) *
+        m_SmoothedLatency > static_cast<double>(MeanServiceTime.count()) *
                                 m_Options.m_Response.m_SlowRatio;
     if (Slow != m_Slow)
       m_ChangedAt = m_Loop.now();
@@ -123,7 +123,7 @@
   // Index of the owner of each shard.
   std::vector<std::uint32_t> m_Shards;
   // Exponential moving average of the first owner's latency, microseconds.
-  double m_SmoothedLatency = static_cast<double>(MeanWork.count());
+  double m_SmoothedLatency = static_cast<double>(MeanServiceTime.count());
   bool m_Slow = false;
   bool m_ShardsMoved = false;
   TimePoint m_ChangedAt;
--- a/bench/policy/straggler_run.h
+++ b/bench/policy/straggler_run.h
@@ -26,7 +26,7 @@
 struct StragglerRunOptions {
   StragglerResponse m_Response;
   AdmissionOptions m_Gate;
-  TargetModel m_Target;
+  ModelledTargetOptions m_Target;
   std::uint32_t m_Owners = 6;
   std::uint32_t m_ShardsPerOwner = 16;
   /// Offered load as a fraction of the capacity of all targets.
--- a/tests/fake_table.h
+++ b/tests/fake_table.h
@@ -11,7 +11,7 @@
 
 class FakeTable {
 public:
-  using Done = std::function<void(TableReply)>;
+  using ReplyCallback = std::function<void(TableReply)>;
 
   FakeTable(EventQueue &Queue, std::uint64_t Seed)
       : m_Queue(Queue), m_Random(Seed) {}
@@ -19,8 +19,8 @@
   // Injected faults. They apply to all clients unless stated otherwise.
   bool m_Down = false;
   Duration m_Delay = milliseconds(1);
-  /// Percentage of commits without a reply. One third of them is applied before
-  /// the client is told, one third later and the rest never.
+  /// Percentage of commits that are answered with Ambiguous. One third of them
+  /// is applied at once, one third after a random delay and the rest never.
   unsigned m_AmbiguousPercent = 0;
   /// By client: whether it can't reach the table.
   std::vector<bool> m_CutOff = std::vector<bool>(16);
@@ -34,7 +34,7 @@
     m_CutOff.assign(m_CutOff.size(), false);
   }
 
-  void read(std::size_t Client, const TableRead &Read, Done Reply) {
+  void read(std::size_t Client, const TableRead &Read, ReplyCallback Reply) {
     m_Queue.after(m_Delay, [this, Client, Read, Reply] {
       if (m_Down || m_CutOff[Client])
         respond({TableStatus::Unavailable, {}}, Reply);
@@ -43,12 +43,13 @@
     });
   }
 
-  void commit(std::size_t Client, const Transaction &Commit, Done Reply) {
+  void commit(std::size_t Client, const Transaction &Commit,
+              ReplyCallback Reply) {
     m_Queue.after(m_Delay, [this, Client, Commit, Reply] {
       if (m_Down || m_CutOff[Client])
         respond({TableStatus::Unavailable, {}}, Reply);
       else if (m_Random.chance(m_AmbiguousPercent))
-        commitWithoutReply(Commit, Reply);
+        commitAmbiguously(Commit, Reply);
       else
         respond(commitNow(Commit), Reply);
     });
@@ -90,12 +91,13 @@
   }
 
 private:
-  void respond(TableReply Reply, const Done &OnReply) {
+  void respond(TableReply Reply, const ReplyCallback &OnReply) {
     m_Queue.after(m_Delay,
                   [Reply = std::move(Reply), OnReply] { OnReply(Reply); });
   }
 
-  void commitWithoutReply(const Transaction &Commit, const Done &Reply) {
+  void commitAmbiguously(const Transaction &Commit,
+                         const ReplyCallback &Reply) {
     const std::uint64_t Outcome = m_Random.below(3);
     if (Outcome == 0)
       commitNow(Commit);
--- a/tests/fake_target.h
+++ b/tests/fake_target.h
@@ -93,9 +93,9 @@
     Answer.m_BodyLength = Answer.m_Body.size();
     m_Queue.after(ServiceTime / 2, [this, Report, Answer, Run = m_Run] {
       runUnlessFrozen([this, Report, Answer, Run] {
-        const bool Whole = Run == m_Run;
-        Report(Whole ? OrderEnd::Answered : OrderEnd::Failed,
-               Whole ? Answer : HttpAnswer{});
+        const bool SameRun = Run == m_Run;
+        Report(SameRun ? OrderEnd::Answered : OrderEnd::Failed,
+               SameRun ? Answer : HttpAnswer{});
       });
     });
   }
--- a/tests/node_oracle.h
+++ b/tests/node_oracle.h
@@ -22,11 +22,11 @@
   TimePoint m_Sent;
   TimePoint m_Deadline;
   std::size_t m_Daemon = 0;
-  /// Run of the daemon that received the attempt, to ignore what a killed run
-  /// left unanswered.
+  /// Number of the run of the daemon that received the attempt.
   unsigned m_Run = 0;
   bool m_Answered = false;
-  /// No fault has occurred since it was sent; operator commands do not count.
+  /// Whether no fault has occurred since it was sent. Operator commands are not
+  /// faults.
   bool m_FaultFree = false;
 };
 
--- a/tests/node_rig.cpp
+++ b/tests/node_rig.cpp
@@ -11,6 +11,7 @@
 namespace {
 
 constexpr std::size_t DaemonCount = 6;
+/// Number of daemons of the keyed service; the others serve the other one.
 constexpr std::size_t KeyedDaemons = 4;
 constexpr std::uint32_t Shards = 8;
 constexpr std::size_t KeyCount = 12;
@@ -25,6 +26,7 @@
 /// How long after its deadline an answer may be given.
 constexpr Duration AnswerTolerance = std::chrono::milliseconds(1);
 
+/// A service divided by key, and one that is not.
 const ServiceName Keyed("timetables");
 const ServiceName Pool("orders");
 
@@ -350,14 +352,14 @@
   const auto Known = m_Callers.find(Answer.m_Request);
   if (Known == m_Callers.end())
     return;
-  const std::shared_ptr<Caller> Client = Known->second;
+  const std::shared_ptr<Caller> ThisCaller = Known->second;
   m_Callers.erase(Known);
   const bool ProvenNotRun =
       Answer.m_Outcome == Outcome::NotRun || Answer.m_Outcome == Outcome::Wait;
   if (ProvenNotRun)
-    Client->m_UnsettledSends.erase(Attempt.m_Sent);
+    ThisCaller->m_UnsettledSends.erase(Attempt.m_Sent);
   if (Answer.m_Outcome != Outcome::Done)
-    scheduleRetry(Client, milliseconds(1000));
+    scheduleRetry(ThisCaller, milliseconds(1000));
 }
 
 void NodeRig::checkOwners() {
--- a/tests/node_rig.h
+++ b/tests/node_rig.h
@@ -128,9 +128,10 @@
   void answer(std::size_t Index, const AnswerCaller &Answer);
 
   void request(std::uint64_t First, std::uint64_t Second);
-  void sendAttempt(const std::shared_ptr<Caller> &Client, std::size_t Index,
-                   Duration Limit);
-  void scheduleRetry(const std::shared_ptr<Caller> &Client, Duration Limit);
+  void sendAttempt(const std::shared_ptr<Caller> &ThisCaller, std::size_t Index,
+                   Duration TimeToDeadline);
+  void scheduleRetry(const std::shared_ptr<Caller> &ThisCaller,
+                     Duration TimeToDeadline);
   void changeConfig(const std::function<void(Config &)> &Change);
   void raceConfigs(std::uint64_t First);
   Config currentConfig() const;
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// A service divided by key, and one that is not.
 const ServiceName Keyed("timetables");
 const ServiceName Pool("orders");
 /// Time in which the cluster must recover once all faults have ended.
@@ -180,34 +181,34 @@
 void NodeRig::request(std::uint64_t First, std::uint64_t Second) {
   const bool DividedByKey = Second % 4 != 0;
   const bool Idempotent = First % 2 == 0;
-  auto Client = std::make_shared<Caller>();
-  Client->m_Meta.m_Id = RequestId("id" + std::to_string(++m_LastId));
-  Client->m_Meta.m_Service = DividedByKey ? Keyed : Pool;
-  Client->m_Meta.m_Class = ClassName(Idempotent ? "read" : "write");
-  Client->m_Meta.m_Idempotent = Idempotent;
+  auto ThisCaller = std::make_shared<Caller>();
+  ThisCaller->m_Meta.m_Id = RequestId("id" + std::to_string(++m_LastId));
+  ThisCaller->m_Meta.m_Service = DividedByKey ? Keyed : Pool;
+  ThisCaller->m_Meta.m_Class = ClassName(Idempotent ? "read" : "write");
+  ThisCaller->m_Meta.m_Idempotent = Idempotent;
   if (DividedByKey)
-    Client->m_Meta.m_Key = m_Keys[(First / 2) % m_Keys.size()];
-  Client->m_Meta.m_Attempt = 0;
-  sendAttempt(Client, (Second / 4) % m_Daemons.size(),
+    ThisCaller->m_Meta.m_Key = m_Keys[(First / 2) % m_Keys.size()];
+  ThisCaller->m_Meta.m_Attempt = 0;
+  sendAttempt(ThisCaller, (Second / 4) % m_Daemons.size(),
               milliseconds(200 + First % 1800));
 }
 
-void NodeRig::sendAttempt(const std::shared_ptr<Caller> &Client,
-                          std::size_t Index, Duration Limit) {
+void NodeRig::sendAttempt(const std::shared_ptr<Caller> &ThisCaller,
+                          std::size_t Index, Duration TimeToDeadline) {
   Daemon &ThisDaemon = m_Daemons[Index];
   if (!ThisDaemon.m_Alive || ThisDaemon.m_ShuttingDown) {
     // The connection is refused, so the caller knows that nothing was sent.
-    scheduleRetry(Client, Limit);
+    scheduleRetry(ThisCaller, TimeToDeadline);
     return;
   }
   ++m_Attempts;
   const TimePoint Now = m_Queue.now();
-  RequestMeta &Meta = Client->m_Meta;
+  RequestMeta &Meta = ThisCaller->m_Meta;
   ++Meta.m_Attempt;
-  Meta.m_FirstAttemptAge = Client->m_UnsettledSends.empty()
+  Meta.m_FirstAttemptAge = ThisCaller->m_UnsettledSends.empty()
                                ? Duration(0)
-                               : Now - *Client->m_UnsettledSends.begin();
-  Client->m_UnsettledSends.insert(Now);
+                               : Now - *ThisCaller->m_UnsettledSends.begin();
+  ThisCaller->m_UnsettledSends.insert(Now);
   IncomingRequest Incoming;
   Incoming.m_Handle = RequestHandle(++m_LastHandle);
   Incoming.m_Meta = Meta;
@@ -220,42 +221,44 @@
   Attempt.m_Sent = Now;
   Attempt.m_Daemon = Index;
   Attempt.m_Run = ThisDaemon.m_Run;
-  m_Callers[Incoming.m_Handle] = Client;
+  m_Callers[Incoming.m_Handle] = ThisCaller;
   m_Oracle.addTraceLine("request " + Attempt.m_Tag + " at " +
                         std::to_string(Index) + " " + Meta.m_Key);
   // The deadline counts from the moment the daemon reads the request.
   callNode(Index, [this, Index, Incoming, Attempt,
-                   Limit](Node &Self, TimePoint Local) mutable {
-    Incoming.m_Deadline = Local + Limit;
+                   TimeToDeadline](Node &Self, TimePoint Local) mutable {
+    Incoming.m_Deadline = Local + TimeToDeadline;
     Attempt.m_Deadline = Incoming.m_Deadline;
     m_Daemons[Index].m_OpenAttempts[Incoming.m_Handle] = Attempt;
     Self.onCallerRequest(Incoming, Local);
   });
   if (m_Random.chance(EarlyRetryPercent) && Meta.m_Attempt < MaxAttempts)
-    m_Queue.after(m_Random.between(milliseconds(1), Limit),
-                  [this, Client, Other = m_Random.below(m_Daemons.size()),
-                   Limit] { sendAttempt(Client, Other, Limit); });
+    m_Queue.after(
+        m_Random.between(milliseconds(1), TimeToDeadline),
+        [this, ThisCaller, Other = m_Random.below(m_Daemons.size()),
+         TimeToDeadline] { sendAttempt(ThisCaller, Other, TimeToDeadline); });
   // A caller without an answer gives up shortly after its deadline and may
   // retry at another daemon.
-  m_Queue.after(Limit + AnswerGrace,
-                [this, Client, Handle = Incoming.m_Handle] {
+  m_Queue.after(TimeToDeadline + AnswerGrace,
+                [this, ThisCaller, Handle = Incoming.m_Handle] {
                   const auto It = m_Callers.find(Handle);
                   if (It == m_Callers.end())
                     return;
                   m_Callers.erase(It);
-                  scheduleRetry(Client, milliseconds(1000));
+                  scheduleRetry(ThisCaller, milliseconds(1000));
                 });
 }
 
-void NodeRig::scheduleRetry(const std::shared_ptr<Caller> &Client,
-                            Duration Limit) {
-  if (m_Ending || Client->m_Meta.m_Attempt >= MaxAttempts ||
+void NodeRig::scheduleRetry(const std::shared_ptr<Caller> &ThisCaller,
+                            Duration TimeToDeadline) {
+  if (m_Ending || ThisCaller->m_Meta.m_Attempt >= MaxAttempts ||
       m_Random.chance(30))
     return;
   const std::size_t Index = m_Random.below(m_Daemons.size());
-  m_Queue.after(
-      m_Random.between(milliseconds(5), milliseconds(1500)),
-      [this, Client, Index, Limit] { sendAttempt(Client, Index, Limit); });
+  m_Queue.after(m_Random.between(milliseconds(5), milliseconds(1500)),
+                [this, ThisCaller, Index, TimeToDeadline] {
+                  sendAttempt(ThisCaller, Index, TimeToDeadline);
+                });
 }
 
 Config NodeRig::currentConfig() const {
--- a/tests/router_rig.h
+++ b/tests/router_rig.h
@@ -18,7 +18,9 @@
 
 inline Endpoint freeEndpoint() { return *Endpoint::fromText(freeAddress()); }
 
-/// Configuration with routes to the services "plain" and "keyed".
+/// Returns a configuration with routes to the services "plain" and "keyed".
+///
+/// \param Extra further path rules as JSON, each with a leading comma.
 inline std::string configuration(int Version, const std::string &Extra = "") {
   return R"({"Version":)" + std::to_string(Version) + R"(,"Services":[
     {"Name":"plain","MaxConnections":50,"ColdStartS":3,"ColdPerS":5},
@@ -90,7 +92,7 @@
   HeartbeatReply sendHeartbeat(bool Draining = false, Duration ColdLeft = 0ms) {
     TargetHeartbeat Heartbeat;
     Heartbeat.m_Target = {.m_Id = "target-" + m_Settings.m_Instance.value(),
-                          .m_StartTimeMs = m_Born};
+                          .m_StartTimeMs = m_TargetStartTimeMs};
     Heartbeat.m_Service = m_Settings.m_Service;
     Heartbeat.m_Address = m_Settings.m_Target;
     Heartbeat.m_Slots = 4;
@@ -109,7 +111,7 @@
   std::unique_ptr<Router> m_Router;
   std::unique_ptr<HttpClient> m_Callers;
   std::uint64_t m_Sequence = 0;
-  std::int64_t m_Born = 1;
+  std::int64_t m_TargetStartTimeMs = 1;
 };
 
 class Rig {
@@ -147,7 +149,7 @@
   }
 
   std::shared_ptr<std::optional<HttpCallResult>>
-  start(Instance &Ingress, const std::string &Path, const std::string &Method,
+  start(Instance &Entrance, const std::string &Path, const std::string &Method,
         int Key = -1) {
     HttpCall Call{.m_Timeout = 5s};
     Call.m_Request = {.m_Method = Method, .m_Target = Path};
@@ -158,25 +160,24 @@
     if (Key >= 0)
       Headers.add("X-Shard-Key", std::to_string(Key));
     auto Result = std::make_shared<std::optional<HttpCallResult>>();
-    m_LastCall =
-        Ingress.m_Callers->call(std::move(Call), [Result](HttpCallResult Done) {
-          *Result = std::move(Done);
-        });
+    m_LastCall = Entrance.m_Callers->call(
+        std::move(Call),
+        [Result](HttpCallResult Done) { *Result = std::move(Done); });
     return Result;
   }
 
-  HttpAnswer call(Instance &Ingress, const std::string &Path,
+  HttpAnswer call(Instance &Entrance, const std::string &Path,
                   const std::string &Method = "GET", int Key = -1) {
-    auto Result = start(Ingress, Path, Method, Key);
+    auto Result = start(Entrance, Path, Method, Key);
     REQUIRE(runUntil([&] { return Result->has_value(); }));
     REQUIRE((*Result)->m_CallOutcome == HttpCallOutcome::Answered);
     return (*Result)->m_Answer;
   }
 
   /// Sends requests to \p Ingress until one succeeds.
-  void waitUntilServed(Instance &Ingress, const std::string &Path) {
+  void waitUntilServed(Instance &Entrance, const std::string &Path) {
     for (int Try = 0; Try < 50; ++Try) {
-      if (call(Ingress, Path).m_Status == 200)
+      if (call(Entrance, Path).m_Status == 200)
         return;
       runFor(50ms);
     }
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Maximum number of steps of an episode. Each episode uses a new rig.
+/// Maximum number of steps of an episode. Each episode uses a new rig and the
+/// next seed.
 constexpr std::uint64_t EpisodeSteps = 150;
 /// Number of steps after which all faults end and the rig is checked.
 constexpr std::uint64_t SettleEvery = 50;
--- a/tests/soak/target.py
+++ b/tests/soak/target.py
@@ -8,7 +8,8 @@
 from oracle import answer_body
 
 HEARTBEAT_S = 0.3
-# Reported to the daemon; more than three times as many requests are refused.
+# Number of slots reported to the daemon. Requests are refused while three times
+# as many are running.
 SLOTS = 4
 
 
--- a/tests/unit-coordinator-faults.cpp
+++ b/tests/unit-coordinator-faults.cpp
@@ -44,8 +44,9 @@
     Cluster TestCluster = makeCluster(Faulty + 1);
     startSixDaemons(TestCluster);
     TestCluster.m_Daemons[Faulty].m_Dead = true;
-    const Duration Took = TestCluster.runUntilServed(Shards, seconds(10));
-    CHECK(Took <= RecoveryLimit);
+    const Duration RecoveryTime =
+        TestCluster.runUntilServed(Shards, seconds(10));
+    CHECK(RecoveryTime <= RecoveryLimit);
     CHECK(TestCluster.m_MaxOwners == 1);
   }
 }
@@ -55,8 +56,8 @@
   startSixDaemons(TestCluster);
   const std::size_t Faulty = leaderOf(TestCluster);
   TestCluster.m_Daemons[Faulty].m_Paused = true;
-  const Duration Took = TestCluster.runUntilServed(Shards, seconds(10));
-  CHECK(Took <= RecoveryLimit);
+  const Duration RecoveryTime = TestCluster.runUntilServed(Shards, seconds(10));
+  CHECK(RecoveryTime <= RecoveryLimit);
   TestCluster.run(seconds(3));
   TestCluster.m_Daemons[Faulty].m_Paused = false;
   TestCluster.run(seconds(8));
@@ -100,8 +101,9 @@
     TestCluster.run(seconds(20));
     CHECK(TestCluster.servedShards(Shards) == Shards - Owned);
     TestCluster.m_TableDown = false;
-    const Duration Took = TestCluster.runUntilServed(Shards, seconds(10));
-    CHECK(Took <= RecoveryLimit);
+    const Duration RecoveryTime =
+        TestCluster.runUntilServed(Shards, seconds(10));
+    CHECK(RecoveryTime <= RecoveryLimit);
     CHECK(TestCluster.m_MaxOwners == 1);
   }
 }
@@ -184,8 +186,8 @@
   startSixDaemons(TestCluster);
   for (std::size_t Index = 0; Index < 6; ++Index)
     TestCluster.restart(Index);
-  const Duration Took = TestCluster.runUntilServed(Shards, seconds(20));
-  CHECK(Took <= RecoveryLimit + seconds(1));
+  const Duration RecoveryTime = TestCluster.runUntilServed(Shards, seconds(20));
+  CHECK(RecoveryTime <= RecoveryLimit + seconds(1));
   CHECK(TestCluster.m_MaxOwners == 1);
 }
 
--- a/tests/unit-hold-ledger.cpp
+++ b/tests/unit-hold-ledger.cpp
@@ -69,7 +69,7 @@
   HoldLedger Ledger({}, Self);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
   Ledger.grant(Moving, Start);
-  for (int Beat = 0; Beat < 5; ++Beat) {
+  for (int Count = 0; Count < 5; ++Count) {
     Ledger.report({.m_Holds = {{.m_First = 10, .m_Last = 20}}});
     CHECK(Ledger.completedReleases(Moving).empty());
     Ledger.grant(Moving, Start + 1s);
--- a/tests/unit-key-planner.cpp
+++ b/tests/unit-key-planner.cpp
@@ -15,11 +15,11 @@
 const TimePoint Start{std::chrono::hours(1)};
 constexpr SliceLoads NoLoad{};
 
-KeyOwner owner(int Index, std::int64_t Born = 1) {
+KeyOwner owner(int Index, std::int64_t StartTimeMs = 1) {
   return {.m_Instance = InstanceName("i" + std::to_string(Index)),
           .m_Target = {.m_Id = "t" + std::to_string(Index) + "-" +
-                               std::to_string(Born),
-                       .m_StartTimeMs = Born}};
+                               std::to_string(StartTimeMs),
+                       .m_StartTimeMs = StartTimeMs}};
 }
 
 std::vector<KeyCandidate> eligible(int Count) {
@@ -214,12 +214,12 @@
           TargetCondition::Eligible, TargetCondition::NoNewKeys,
           TargetCondition::Leaving, TargetCondition::Ended);
     Map = settle(Planner, Map, Candidates, Loads);
-    const bool AnyFit =
+    const bool AnyEligible =
         std::any_of(Candidates.begin(), Candidates.end(), [](const auto &Each) {
           return Each.m_Condition == TargetCondition::Eligible;
         });
     for (const KeySpan &Span : Map.spans()) {
-      if (!AnyFit)
+      if (!AnyEligible)
         continue;
       RC_ASSERT(Span.m_State == SpanState::Owned);
       const auto Owner = std::find_if(
--- a/tests/unit-policy.cpp
+++ b/tests/unit-policy.cpp
@@ -52,10 +52,10 @@
     Options.m_Gate.m_ColdSlots = Options.m_Target.m_Slots / 5;
     Options.m_Length = 30s;
     Options.m_Seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
-    Options.m_Load = {
-        {.m_Class = Urgency::Interactive,
-         .m_OfferedLoad = *rc::gen::inRange(2, 20) / 10.0,
-         .m_MeanWork = std::chrono::milliseconds(*rc::gen::inRange(4, 60))}};
+    Options.m_Load = {{.m_Class = Urgency::Interactive,
+                       .m_OfferedLoad = *rc::gen::inRange(2, 20) / 10.0,
+                       .m_MeanServiceTime = std::chrono::milliseconds(
+                           *rc::gen::inRange(4, 60))}};
     RC_ASSERT(runGate(Options).m_Collapses == 0U);
   }));
 }
--- a/tests/unit-request-gate.cpp
+++ b/tests/unit-request-gate.cpp
@@ -64,7 +64,7 @@
   RequestGate Gate = gateWithService(Slots, Service);
   pcg32 Random(7);
   std::exponential_distribution<double> Gap(ArrivalsPerSecond);
-  std::uniform_real_distribution<double> Noise(0.6, 1.4);
+  std::uniform_real_distribution<double> ServiceFactor(0.6, 1.4);
   std::map<std::uint64_t, TimePoint> Arrived;
   std::multimap<TimePoint, std::pair<std::uint64_t, Duration>> Running;
   std::set<std::uint64_t> Nested;
@@ -79,7 +79,7 @@
                           : Failing.contains(Handle) ? Extras.m_FailingService
                                                      : Service;
     const auto ServiceTime =
-        std::chrono::duration_cast<Duration>(Mean * Noise(Random));
+        std::chrono::duration_cast<Duration>(Mean * ServiceFactor(Random));
     Running.emplace(Now + ServiceTime, std::pair(Handle, ServiceTime));
   };
   const auto DrainQueue = [&] {
@@ -281,7 +281,7 @@
     std::uint64_t Handle = 0;
     std::uint32_t Running = 0;
     std::vector<RequestHandle> Waiting;
-    const auto Left = [&](RequestHandle Each) {
+    const auto RemoveWaiting = [&](RequestHandle Each) {
       RC_ASSERT(std::erase(Waiting, Each) == 1);
     };
     for (int Step = 0; Step < 100; ++Step) {
@@ -309,7 +309,7 @@
         break;
       case 3:
         for (RequestHandle Each : Gate.expire(Now))
-          Left(Each);
+          RemoveWaiting(Each);
         break;
       default:
         if (!Waiting.empty()) {
@@ -318,7 +318,7 @@
         }
       }
       while (auto Next = Gate.next(Now)) {
-        Left(*Next);
+        RemoveWaiting(*Next);
         ++Running;
       }
       RC_ASSERT(Running <= Slots);
--- a/tests/unit-router-keys.cpp
+++ b/tests/unit-router-keys.cpp
@@ -66,7 +66,7 @@
       First = Reply.m_Grants->front().m_Fence;
     return First.value() > 0;
   }));
-  A.m_Born = 2;
+  A.m_TargetStartTimeMs = 2;
   A.m_Sequence = 0;
   Epoch Second;
   REQUIRE(Rig.runUntil([&] {
@@ -76,6 +76,6 @@
     return Second.value() > 0;
   }));
   CHECK(Second > First);
-  A.m_Born = 1;
+  A.m_TargetStartTimeMs = 1;
   CHECK_FALSE(A.sendHeartbeat().m_Accepted);
 }
--- a/tests/unit-stand-ins.cpp
+++ b/tests/unit-stand-ins.cpp
@@ -78,7 +78,7 @@
 
 TEST_CASE("an overloaded cold target collapses and restarts cold") {
   TargetModel Model({.m_StartsCold = true}, Start);
-  CHECK(Model.workingSlots(Start) == 2);
+  CHECK(Model.usableSlots(Start) == 2);
   for (int Index = 0; Index < 5; ++Index) {
     TargetOrder Order = makeOrder(std::to_string(Index));
     Order.m_ServiceTime = seconds(60);
@@ -89,8 +89,8 @@
   CHECK(Model.advance(CollapseTime).size() == 5);
   CHECK(Model.collapses() == 1);
   CHECK(Model.restarting(CollapseTime + milliseconds(1999)));
-  CHECK(Model.workingSlots(CollapseTime + seconds(2)) == 2);
-  CHECK(Model.workingSlots(CollapseTime + seconds(12)) == 10);
+  CHECK(Model.usableSlots(CollapseTime + seconds(2)) == 2);
+  CHECK(Model.usableSlots(CollapseTime + seconds(12)) == 10);
 }
 
 TEST_CASE(
