--- a/bench/capacity/fleet.h
+++ b/bench/capacity/fleet.h
@@ -42,8 +42,8 @@
   std::uint64_t m_RowsWritten = 0;
 };
 
-/// Simulates the nodes, their network and their table on one thread. Invariant:
-/// events run in the order of their simulated times; events of the
+/// Simulates the nodes, their network and their table on one thread.
+/// Invariant: events run in the order of their simulated times; events of the
 /// same time run in the order in which they were scheduled.
 class Fleet {
 public:
--- a/bench/capacity/main.cpp
+++ b/bench/capacity/main.cpp
@@ -21,7 +21,8 @@
 constexpr seconds SteadyStateLength{30};
 /// A measurement of a recovery or a configuration change ends after this time.
 constexpr seconds RecoveryLimit{60};
-/// Maximum number of nodes in a rack; at most 1/16 of all nodes.
+/// Maximum number of nodes in a rack; a smaller fleet has 1/16 of its nodes in
+/// one.
 constexpr std::uint32_t MaxRackNodes = 20;
 
 double asSeconds(Duration Value) {
--- a/bench/policy/experiments.cpp
+++ b/bench/policy/experiments.cpp
@@ -21,7 +21,7 @@
 /// Requests that arrive before this time are not measured.
 constexpr Duration SettleTime = seconds(20);
 /// Maximum p99 latency of urgent requests during an overload of bulk requests,
-/// as a multiple of that without overload.
+/// as a multiple of that without bulk requests.
 constexpr double UrgentP99Goal = 1.5;
 /// Minimum goodput at twice the capacity, as a fraction of the peak goodput.
 constexpr double GoodputGoal = 0.95;
