--- a/include/balsamwheel/coordination.h
+++ b/include/balsamwheel/coordination.h
@@ -1,7 +1,8 @@
 // Public header of the coordination library: state machines that decide which
 // instance owns a key, which daemon may run a request, and how much load a
 // target can take. They perform no I/O; time, randomness and replies are passed
-// in.
+// in. The stand-alone daemon balsamwheeld uses the whole library;
+// balsamwheel-sidecar uses only its load classes and basic types.
 #pragma once
 
 #include "balsamwheel/detail/coordination/coordinator.h"
--- a/include/balsamwheel/detail/coordination/coordinator.h
+++ b/include/balsamwheel/detail/coordination/coordinator.h
@@ -113,7 +113,7 @@
   TimePoint m_LeaseEnd;
   ConfigVersion m_Config;
   /// Version of the head row at which the local view was last complete.
-  std::uint64_t m_MapVersion = 0;
+  std::uint64_t m_CompleteHeadVersion = 0;
   std::uint32_t m_Group = 0;
   bool m_Leader = false;
   std::size_t m_Members = 0;
--- a/include/balsamwheel/detail/keyspace/key_map.h
+++ b/include/balsamwheel/detail/keyspace/key_map.h
@@ -59,7 +59,7 @@
   Epoch m_Fence;
   /// Handover token that the present owner got with the keys; empty when the
   /// previous owner was lost.
-  std::string m_Handover;
+  std::string m_HandoverToken;
 
   std::uint32_t size() const { return std::uint32_t{m_Last} - m_First + 1; }
   bool operator==(const KeySpan &) const = default;
--- a/include/balsamwheel/detail/wire/control.h
+++ b/include/balsamwheel/detail/wire/control.h
@@ -21,7 +21,7 @@
   std::uint64_t m_Sequence = 0;
   ConfigVersion m_ConfigApplied;
   /// Version of the head row at which the sender's view was last complete.
-  std::uint64_t m_MapSeen = 0;
+  std::uint64_t m_HeadVersionSeen = 0;
   /// JSON of the member's own entry in the group row; empty if unchanged.
   std::string m_Entry;
 
@@ -34,7 +34,7 @@
   SessionId m_Session;
   std::uint64_t m_SequenceCommitted = 0;
   /// Version of the group's row as known to the leader.
-  RowVersion m_GroupRow;
+  RowVersion m_GroupRowVersion;
   /// Version of the head row at which the leader's view was last complete.
   RowVersion m_Head;
   /// The session was expelled or not admitted, and must join as a new session.
@@ -54,10 +54,10 @@
   /// The last sequence that the session knows to be committed.
   std::uint64_t m_SequenceCommitted = 0;
   std::uint32_t m_Group = 0;
-  RowVersion m_GroupRow;
+  RowVersion m_GroupRowVersion;
   ConfigVersion m_ConfigApplied;
   /// Version of the head row at which the sender's view was last complete.
-  std::uint64_t m_MapSeen = 0;
+  std::uint64_t m_HeadVersionSeen = 0;
 
   bool operator==(const ExtendRequest &) const = default;
 };
@@ -77,7 +77,7 @@
   SessionId m_Subject;
   std::uint64_t m_Sequence = 0;
   std::uint32_t m_Group = 0;
-  RowVersion m_GroupRow;
+  RowVersion m_GroupRowVersion;
 
   bool operator==(const PromiseRequest &) const = default;
 };
@@ -89,7 +89,7 @@
   SessionId m_Witness;
   std::uint64_t m_Sequence = 0;
   std::uint32_t m_Group = 0;
-  RowVersion m_GroupRow;
+  RowVersion m_GroupRowVersion;
   bool m_Promised = false;
 
   bool operator==(const PromiseReply &) const = default;
--- a/src/adapters/http_client/transfer_loop.h
+++ b/src/adapters/http_client/transfer_loop.h
@@ -1,4 +1,5 @@
-// A thread that performs HTTP exchanges through libcurl.
+// A thread that performs HTTP exchanges through libcurl. Used by
+// balsamwheeld and the command-line tool; balsamwheel-sidecar uses src/net.
 #pragma once
 
 #include "adapters/http_client/transfer.h"
--- a/src/adapters/peer_tcp/decode.cpp
+++ b/src/adapters/peer_tcp/decode.cpp
@@ -92,7 +92,7 @@
           .m_Session = SessionId(Value.session()),
           .m_Sequence = Value.sequence(),
           .m_ConfigApplied = ConfigVersion(Value.config_applied()),
-          .m_MapSeen = Value.map_seen(),
+          .m_HeadVersionSeen = Value.map_seen(),
           .m_Entry = text(Value.entry())};
 }
 
@@ -100,7 +100,7 @@
   return {.m_Group = Value.group(),
           .m_Session = SessionId(Value.session()),
           .m_SequenceCommitted = Value.sequence_committed(),
-          .m_GroupRow = RowVersion(Value.group_row()),
+          .m_GroupRowVersion = RowVersion(Value.group_row()),
           .m_Head = RowVersion(Value.head()),
           .m_Expelled = Value.expelled(),
           .m_NextHeartbeatIn = Duration(Value.next_beat_in())};
@@ -111,9 +111,9 @@
           .m_Sequence = Value.sequence(),
           .m_SequenceCommitted = Value.sequence_committed(),
           .m_Group = Value.group(),
-          .m_GroupRow = RowVersion(Value.group_row()),
+          .m_GroupRowVersion = RowVersion(Value.group_row()),
           .m_ConfigApplied = ConfigVersion(Value.config_applied()),
-          .m_MapSeen = Value.map_seen()};
+          .m_HeadVersionSeen = Value.map_seen()};
 }
 
 ExtendReply fromWire(const wire::ExtendReply &Value) {
@@ -127,7 +127,7 @@
   return {.m_Subject = SessionId(Value.subject()),
           .m_Sequence = Value.sequence(),
           .m_Group = Value.group(),
-          .m_GroupRow = RowVersion(Value.group_row())};
+          .m_GroupRowVersion = RowVersion(Value.group_row())};
 }
 
 PromiseReply fromWire(const wire::PromiseReply &Value) {
@@ -135,7 +135,7 @@
           .m_Witness = SessionId(Value.witness()),
           .m_Sequence = Value.sequence(),
           .m_Group = Value.group(),
-          .m_GroupRow = RowVersion(Value.group_row()),
+          .m_GroupRowVersion = RowVersion(Value.group_row()),
           .m_Promised = Value.promised()};
 }
 
--- a/src/adapters/peer_tcp/encode.cpp
+++ b/src/adapters/peer_tcp/encode.cpp
@@ -80,7 +80,7 @@
 Content encodeOne(Builder &Out, const Heartbeat &Value) {
   return content(wire::CreateHeartbeat(
       Out, Value.m_Group, Value.m_Session.value(), Value.m_Sequence,
-      Value.m_ConfigApplied.value(), Value.m_MapSeen,
+      Value.m_ConfigApplied.value(), Value.m_HeadVersionSeen,
       Value.m_Entry.empty() ? Ref<flatbuffers::String>()
                             : Out.CreateString(Value.m_Entry)));
 }
@@ -88,15 +88,15 @@
 Content encodeOne(Builder &Out, const HeartbeatAck &Value) {
   return content(wire::CreateHeartbeatAck(
       Out, Value.m_Group, Value.m_Session.value(), Value.m_SequenceCommitted,
-      Value.m_GroupRow.value(), Value.m_Head.value(), Value.m_Expelled,
+      Value.m_GroupRowVersion.value(), Value.m_Head.value(), Value.m_Expelled,
       Value.m_NextHeartbeatIn.count()));
 }
 
 Content encodeOne(Builder &Out, const ExtendRequest &Value) {
   return content(wire::CreateExtendRequest(
       Out, Value.m_Session.value(), Value.m_Sequence, Value.m_SequenceCommitted,
-      Value.m_Group, Value.m_GroupRow.value(), Value.m_ConfigApplied.value(),
-      Value.m_MapSeen));
+      Value.m_Group, Value.m_GroupRowVersion.value(),
+      Value.m_ConfigApplied.value(), Value.m_HeadVersionSeen));
 }
 
 Content encodeOne(Builder &Out, const ExtendReply &Value) {
@@ -108,13 +108,13 @@
 Content encodeOne(Builder &Out, const PromiseRequest &Value) {
   return content(wire::CreatePromiseRequest(Out, Value.m_Subject.value(),
                                             Value.m_Sequence, Value.m_Group,
-                                            Value.m_GroupRow.value()));
+                                            Value.m_GroupRowVersion.value()));
 }
 
 Content encodeOne(Builder &Out, const PromiseReply &Value) {
   return content(wire::CreatePromiseReply(
       Out, Value.m_Subject.value(), Value.m_Witness.value(), Value.m_Sequence,
-      Value.m_Group, Value.m_GroupRow.value(), Value.m_Promised));
+      Value.m_Group, Value.m_GroupRowVersion.value(), Value.m_Promised));
 }
 
 Content encodeOne(Builder &Out, const ChangesRequest &Value) {
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -179,7 +179,8 @@
             .m_LeaseExtended = Lease.extended(),
             .m_LeaseEnd = Lease.end(),
             .m_Config = m_Context.m_View.configVersion(),
-            .m_MapVersion = m_Context.m_View.completeHeadVersion().value(),
+            .m_CompleteHeadVersion =
+                m_Context.m_View.completeHeadVersion().value(),
             .m_Group = m_Membership.group(),
             .m_Leader = m_Membership.isLeader(Now),
             .m_Members = m_Context.m_View.memberCount(),
--- a/src/coordination/group_leader.cpp
+++ b/src/coordination/group_leader.cpp
@@ -164,7 +164,7 @@
       HeartbeatAck Refusal;
       Refusal.m_Group = m_Group;
       Refusal.m_Session = Session;
-      Refusal.m_GroupRow = Row.m_Version;
+      Refusal.m_GroupRowVersion = Row.m_Version;
       Refusal.m_Expelled = true;
       m_Refusals.push_back({Waiting.m_From, Refusal});
       It = m_Pending.erase(It);
@@ -267,7 +267,7 @@
   Ack.m_Group = m_Group;
   Ack.m_Session = Subject.m_Member.m_Session;
   Ack.m_SequenceCommitted = Subject.m_Sequence;
-  Ack.m_GroupRow = Row.m_Version;
+  Ack.m_GroupRowVersion = Row.m_Version;
   Ack.m_Head = m_Context->m_View.completeHeadVersion();
   if (isFirstWriter())
     Ack.m_NextHeartbeatIn = nextHeartbeatIn(Now);
--- a/src/coordination/group_leader_expulsion.cpp
+++ b/src/coordination/group_leader_expulsion.cpp
@@ -46,7 +46,7 @@
     Request.m_Subject = Subject.m_Member.m_Session;
     Request.m_Sequence = Subject.m_Sequence;
     Request.m_Group = Row.m_Group;
-    Request.m_GroupRow = Row.m_Version;
+    Request.m_GroupRowVersion = Row.m_Version;
     for (SessionId Witness : Subject.m_Witnesses)
       m_SendPromiseRequest(Witness, Request, Now);
   }
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -181,7 +181,7 @@
   Result.m_Session = m_Context->m_Session;
   Result.m_Sequence = m_Lease.sequence();
   Result.m_ConfigApplied = m_Context->m_View.configVersion();
-  Result.m_MapSeen = m_Context->m_View.completeHeadVersion().value();
+  Result.m_HeadVersionSeen = m_Context->m_View.completeHeadVersion().value();
   if (m_EntrySequence > m_Lease.committed())
     Result.m_Entry = m_Entry;
   return Result;
@@ -229,7 +229,7 @@
       Message.m_Session != m_Context->m_Session)
     return;
   if (Message.m_Expelled) {
-    if (m_State == State::Joining || Message.m_GroupRow > m_AckedRow)
+    if (m_State == State::Joining || Message.m_GroupRowVersion > m_AckedRow)
       rejoinAsNewSession(Now);
     return;
   }
@@ -253,7 +253,7 @@
 void Membership::applyAck(const HeartbeatAck &Message, const PeerAddress &From,
                           TimePoint Now) {
   m_State = State::Joined;
-  m_AckedRow = std::max(m_AckedRow, Message.m_GroupRow);
+  m_AckedRow = std::max(m_AckedRow, Message.m_GroupRowVersion);
   m_Failovers = m_Attempt > 1 ? m_Failovers + 1 : 0;
   if (m_Failovers >= FailoversBeforePreference)
     preferWriter(From, Now);
--- a/src/coordination/membership_extension.cpp
+++ b/src/coordination/membership_extension.cpp
@@ -38,9 +38,9 @@
   Request.m_Sequence = m_Lease.sequence();
   Request.m_SequenceCommitted = m_Lease.committed();
   Request.m_Group = m_Group;
-  Request.m_GroupRow = m_AckedRow;
+  Request.m_GroupRowVersion = m_AckedRow;
   Request.m_ConfigApplied = m_Context->m_View.configVersion();
-  Request.m_MapSeen = m_Context->m_View.completeHeadVersion().value();
+  Request.m_HeadVersionSeen = m_Context->m_View.completeHeadVersion().value();
   for (SessionId Witness : Self->m_Witnesses)
     m_Context->sendTo(Witness, Request);
 }
@@ -50,7 +50,7 @@
   const GroupMember *Subject = Group ? Group->find(Message.m_Session) : nullptr;
   if (!Subject)
     return;
-  const RowVersion Seen(Message.m_MapSeen);
+  const RowVersion Seen(Message.m_HeadVersionSeen);
   const bool Behind = Seen < m_Context->m_View.completeHeadVersion();
   if (Behind)
     m_Context->send(Subject->m_Member.m_Peer,
@@ -90,7 +90,7 @@
   Reply.m_Witness = m_Context->m_Session;
   Reply.m_Sequence = Message.m_Sequence;
   Reply.m_Group = Message.m_Group;
-  Reply.m_GroupRow = Message.m_GroupRow;
+  Reply.m_GroupRowVersion = Message.m_GroupRowVersion;
   Reply.m_Promised =
       Message.m_Sequence != 0 &&
       m_Witness.tryPromise(Message.m_Subject, Message.m_Sequence, Now);
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -179,7 +179,7 @@
   m_LeaseExtended.Set(State.m_LeaseExtended ? 1 : 0);
   m_LeaseLeft.Set(State.m_LeaseHeld ? toSeconds(State.m_LeaseEnd - Now) : 0);
   m_ConfigVersion.Set(static_cast<double>(State.m_Config.value()));
-  m_MapVersion.Set(static_cast<double>(State.m_MapVersion));
+  m_MapVersion.Set(static_cast<double>(State.m_CompleteHeadVersion));
   m_Members.Set(static_cast<double>(State.m_Members));
   m_ShardsOwned.Set(static_cast<double>(State.m_ShardsOwned));
   m_ShardsPending.Set(static_cast<double>(State.m_ShardsPending));
--- a/src/daemon/status_json.cpp
+++ b/src/daemon/status_json.cpp
@@ -34,7 +34,7 @@
           {"lease_extended", Value.m_LeaseExtended},
           {"lease_left_ms", Remaining.count() / 1000},
           {"config_version", Value.m_Config.value()},
-          {"map_version", Value.m_MapVersion},
+          {"map_version", Value.m_CompleteHeadVersion},
           {"group", Value.m_Group},
           {"leader", Value.m_Leader},
           {"members", Value.m_Members},
--- a/src/keyspace/hold_ledger.cpp
+++ b/src/keyspace/hold_ledger.cpp
@@ -61,7 +61,7 @@
       Grants.push_back({.m_First = Span.m_First,
                         .m_Last = Span.m_Last,
                         .m_Fence = Span.m_Fence,
-                        .m_Handover = Span.m_Handover});
+                        .m_HandoverToken = Span.m_HandoverToken});
   if (!sameKeys(Grants, m_Granted))
     m_ReportsSinceChange = 0;
   m_Granted = Grants;
@@ -102,7 +102,7 @@
         HasToken = true;
         Result.push_back({.m_First = std::max(Each.m_First, Span.m_First),
                           .m_Last = std::min(Each.m_Last, Span.m_Last),
-                          .m_Handover = Each.m_Handover});
+                          .m_HandoverToken = Each.m_HandoverToken});
       }
     const auto InUse = [&](const auto &Each) {
       return overlaps(Each, Span.m_First, Span.m_Last);
--- a/src/keyspace/key_map.cpp
+++ b/src/keyspace/key_map.cpp
@@ -24,7 +24,8 @@
 bool sameExceptKeys(const KeySpan &Left, const KeySpan &Right) {
   return Left.m_State == Right.m_State && Left.m_Owner == Right.m_Owner &&
          Left.m_NextOwner == Right.m_NextOwner &&
-         Left.m_Fence == Right.m_Fence && Left.m_Handover == Right.m_Handover;
+         Left.m_Fence == Right.m_Fence &&
+         Left.m_HandoverToken == Right.m_HandoverToken;
 }
 
 bool coversAllKeys(const std::vector<KeySpan> &Spans) {
@@ -89,7 +90,7 @@
   for (const KeySpan &Span : m_Spans)
     Spans.push_back({Span.m_First, Span.m_Last, static_cast<int>(Span.m_State),
                      encodeOwner(Span.m_Owner), encodeOwner(Span.m_NextOwner),
-                     Span.m_Fence.value(), Span.m_Handover});
+                     Span.m_Fence.value(), Span.m_HandoverToken});
   return json{{"last_fence", m_LastFence}, {"spans", std::move(Spans)}}.dump();
 }
 
@@ -109,7 +110,7 @@
                              .m_Owner = decodeOwner(Each.at(3)),
                              .m_NextOwner = decodeOwner(Each.at(4)),
                              .m_Fence = Epoch(Each.at(5).get<std::uint64_t>()),
-                             .m_Handover = Each.at(6).get<std::string>()});
+                             .m_HandoverToken = Each.at(6).get<std::string>()});
     }
     if (!coversAllKeys(Map.m_Spans))
       return std::nullopt;
--- a/src/keyspace/key_planner.cpp
+++ b/src/keyspace/key_planner.cpp
@@ -345,7 +345,7 @@
         Part.m_Owner = Receiver;
         Part.m_NextOwner = {};
         Part.m_Fence = Builder.map().issueFence();
-        Part.m_Handover.clear();
+        Part.m_HandoverToken.clear();
       });
     else if (Span.m_State == SpanState::Owned &&
              Builder.condition(Span.m_Owner) == TargetCondition::Leaving)
@@ -370,7 +370,7 @@
     Span.m_State = SpanState::Owned;
     Span.m_Owner = Present;
     Span.m_NextOwner = {};
-    Span.m_Handover.clear();
+    Span.m_HandoverToken.clear();
     Span.m_Fence = Result.issueFence();
     Result.assign(Span);
   }
@@ -390,7 +390,7 @@
       Span.m_Owner = Span.m_NextOwner;
       Span.m_NextOwner = {};
       Span.m_State = SpanState::Owned;
-      Span.m_Handover = Token;
+      Span.m_HandoverToken = Token;
       Span.m_Fence = Result.issueFence();
     } else if (Span.m_State == SpanState::Revoked) {
       Span.m_State = SpanState::Free;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,5 @@
 // HTTP/1.1 client for one endpoint, on an event loop, with a connection pool.
+// Used by balsamwheel-sidecar; balsamwheeld uses src/adapters/http_client.
 #pragma once
 
 #include "http_message.h"
--- a/src/router/key_coordinator.cpp
+++ b/src/router/key_coordinator.cpp
@@ -48,7 +48,7 @@
       Next = freeOwnedBy(Next, *Self);
     for (const ReleasedSpan &Each : m_Agent.ledger()->completedReleases(Next))
       Next = completeRelease(Next, *Self, Each.m_First, Each.m_Last,
-                             Each.m_Handover);
+                             Each.m_HandoverToken);
   }
   if (Now - m_StartedAt >= m_Options.m_StartupDelay &&
       m_Callbacks.m_IsPlanner())
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,5 +1,6 @@
 // Main object of the daemon of one instance: connects the entrance, the target
-// agent, the key coordinator, the tables and the peers on one event loop.
+// agent, the key coordinator, the tables and the peers on one event loop. Part
+// of balsamwheel-sidecar; the stand-alone daemon balsamwheeld is src/daemon.
 #pragma once
 
 #include "entrance.h"
--- a/tests/node_rig_actions.cpp
+++ b/tests/node_rig_actions.cpp
@@ -348,8 +348,8 @@
                           std::to_string(State.m_Members) + " owned " +
                           std::to_string(State.m_ShardsOwned) + " pending " +
                           std::to_string(State.m_ShardsPending) + " map " +
-                          std::to_string(State.m_MapVersion) + " leader " +
-                          std::to_string(State.m_Leader));
+                          std::to_string(State.m_CompleteHeadVersion) +
+                          " leader " + std::to_string(State.m_Leader));
     for (const std::string &Key : m_Keys) {
       const Coordinator &Source = Each.m_Node->coordinator();
       const Permit Answer = Source.permit(Keyed, hashKey(Key), localTime(Each));
--- a/tests/unit-hold-ledger.cpp
+++ b/tests/unit-hold-ledger.cpp
@@ -59,10 +59,11 @@
   Ledger.grant(Moving, Start + 1s);
   CHECK(Ledger.completedReleases(Moving).empty());
   Ledger.report(
-      {.m_Released = {{.m_First = 0, .m_Last = 999, .m_Handover = "token"}}});
+      {.m_Released = {
+           {.m_First = 0, .m_Last = 999, .m_HandoverToken = "token"}}});
   const auto Done = Ledger.completedReleases(Moving);
   REQUIRE(Done.size() == 1);
-  CHECK(Done[0].m_Handover == "token");
+  CHECK(Done[0].m_HandoverToken == "token");
 }
 
 TEST_CASE("a span that the target still reports as held is not released") {
@@ -87,7 +88,7 @@
   Ledger.report({});
   const auto Done = Ledger.completedReleases(Moving);
   REQUIRE(Done.size() == 1);
-  CHECK(Done[0].m_Handover.empty());
+  CHECK(Done[0].m_HandoverToken.empty());
 }
 
 TEST_CASE("the revocation wait covers the last grant on a slow clock") {
--- a/tests/unit-key-planner.cpp
+++ b/tests/unit-key-planner.cpp
@@ -134,7 +134,7 @@
   CHECK(keysOf(Done, owner(0)) == 0);
   for (const KeySpan &Span : Done.spans())
     if (Planned.find(Span.m_First).m_State == SpanState::Releasing) {
-      CHECK(Span.m_Handover == "token");
+      CHECK(Span.m_HandoverToken == "token");
       CHECK(Span.m_Fence > Planned.find(Span.m_First).m_Fence);
     }
 }
--- a/tests/unit-peer-codec-lease.cpp
+++ b/tests/unit-peer-codec-lease.cpp
@@ -27,24 +27,24 @@
     Message.m_Session = SessionId(anyNumber());
     Message.m_Sequence = anyNumber();
     Message.m_SequenceCommitted = anyNumber();
-    Message.m_GroupRow = RowVersion(anyNumber());
-    Message.m_MapSeen = anyNumber();
+    Message.m_GroupRowVersion = RowVersion(anyNumber());
+    Message.m_HeadVersionSeen = anyNumber();
     const ExtendRequest Result = roundTrip(Message);
     RC_ASSERT(Result.m_Session == Message.m_Session);
     RC_ASSERT(Result.m_Sequence == Message.m_Sequence);
     RC_ASSERT(Result.m_SequenceCommitted == Message.m_SequenceCommitted);
-    RC_ASSERT(Result.m_GroupRow == Message.m_GroupRow);
-    RC_ASSERT(Result.m_MapSeen == Message.m_MapSeen);
+    RC_ASSERT(Result.m_GroupRowVersion == Message.m_GroupRowVersion);
+    RC_ASSERT(Result.m_HeadVersionSeen == Message.m_HeadVersionSeen);
   }));
   CHECK(rc::check("promise request", [] {
     PromiseRequest Message;
     Message.m_Subject = SessionId(anyNumber());
     Message.m_Sequence = anyNumber();
-    Message.m_GroupRow = RowVersion(anyNumber());
+    Message.m_GroupRowVersion = RowVersion(anyNumber());
     const PromiseRequest Result = roundTrip(Message);
     RC_ASSERT(Result.m_Subject == Message.m_Subject);
     RC_ASSERT(Result.m_Sequence == Message.m_Sequence);
-    RC_ASSERT(Result.m_GroupRow == Message.m_GroupRow);
+    RC_ASSERT(Result.m_GroupRowVersion == Message.m_GroupRowVersion);
   }));
   CHECK(rc::check("promise reply", [] {
     PromiseReply Message;
--- a/tests/unit-platform.cpp
+++ b/tests/unit-platform.cpp
@@ -92,7 +92,7 @@
   CHECK(Read->m_ColdLeft == 1500ms);
   CHECK(Read->m_Target.m_StartTimeMs == 1700000000000);
   CHECK(Read->m_Keys.m_Holds.front().m_Last == 4095);
-  CHECK(Read->m_Keys.m_Released.front().m_Handover == "token");
+  CHECK(Read->m_Keys.m_Released.front().m_HandoverToken == "token");
   for (const char *Field : {"Service", "Address", "Slots", "State",
                             "ColdRemainingS", "Sequence", "born"}) {
     nlohmann::json Missing = heartbeat();
