--- a/bench/core/signals.h
+++ b/bench/core/signals.h
@@ -3,12 +3,13 @@
 
 namespace balsamwheel::bench {
 
-/// The constructor blocks both signals for the calling thread and the threads
-/// that it starts later. Construct it before starting any thread.
+/// Masks SIGTERM and SIGINT in the constructor, for the calling thread and the
+/// threads that it starts later. Construct it before starting any thread. The
+/// destructor does not restore the signal mask.
 class SignalWaiter {
 public:
   SignalWaiter();
-  /// Blocks until one of the signals arrives.
+  /// Waits until SIGTERM or SIGINT is pending and consumes it.
   void waitForTermination() const;
 };
 
--- a/include/balsamwheel/detail/node/replay_window.h
+++ b/include/balsamwheel/detail/node/replay_window.h
@@ -1,4 +1,4 @@
-// Detects duplicate messages, separately for each sender.
+// Detects duplicate forwards of requests, separately for each run of a sender.
 #pragma once
 
 #include <bitset>
@@ -7,14 +7,17 @@
 
 namespace balsamwheel {
 
-/// Remembers which stream ids were seen. The upper 32 bits of a stream id
-/// identify the run of its sender, the lower 32 bits count up.
+/// Remembers which stream ids were seen. A stream here is one forward of a
+/// request. It is seen when the forward arrives, or earlier when a query about
+/// its outcome does. The upper 32 bits of its id identify the run of its
+/// sender, the lower 32 bits are a counter of that run's streams.
 ///
 /// Invariant: a stream that was seen before, or that is older than the window,
 /// is never reported as new.
 class ReplayWindow {
 public:
-  /// Marks a stream as seen. Complexity: constant on average.
+  /// Marks a stream as seen. Complexity: constant on average over the streams
+  /// of a sender, at most linear in the window size.
   ///
   /// \returns true if the stream was new.
   bool accept(std::uint64_t Stream) {
@@ -31,7 +34,8 @@
   }
 
 private:
-  /// Number of streams that are remembered per sender.
+  /// Range of counters, back from the highest one seen, that is remembered for
+  /// each run of a sender.
   static constexpr std::uint32_t WindowSize = 16384;
 
   struct Sender {
@@ -48,6 +52,8 @@
     State.m_Highest = Counter;
   }
 
+  /// By the upper 32 bits of the stream id. Entries are never removed: there is
+  /// one for each run of a sender seen.
   std::unordered_map<std::uint32_t, Sender> m_Senders;
 };
 
