--- a/bench/core/arrivals.h
+++ b/bench/core/arrivals.h
@@ -1,4 +1,4 @@
-// Seeded arrival times and keys of a load plan.
+// Draws the arrival times and keys of a load plan from its seed.
 #pragma once
 
 #include "bench/core/load_plan.h"
@@ -14,31 +14,38 @@
   std::string m_Key;
 };
 
-/// Poisson arrivals per stream. The same seed gives the same arrivals.
+/// A Poisson process for each stream. The same seed gives the same arrivals.
 class Arrivals {
 public:
   Arrivals(const LoadPlan &Plan, TimePoint Start);
 
-  /// Time of the next arrival; none when every rate is 0.
+  /// Returns the time of the next arrival over all streams; none when every
+  /// rate is 0.
   std::optional<TimePoint> nextTime() const;
-  Arrival take();
+  /// Returns the next arrival and draws the one after it. At least one stream
+  /// must have a rate above 0.
+  Arrival takeNext();
+  /// Changes the rate of a stream, in requests per second, and draws its next
+  /// arrival anew from \p Now.
   void setRate(std::size_t Stream, double Rate, TimePoint Now);
-  void shiftKeys(std::size_t Stream);
+  /// Replaces every key of a stream by a new one.
+  void renameKeys(std::size_t Stream);
 
 private:
-  struct Source {
+  struct StreamState {
     LoadStream m_Stream;
     std::mt19937_64 m_Random;
     std::discrete_distribution<std::uint32_t> m_KeyRanks;
     TimePoint m_Next;
+    /// Part of each key; grows with renameKeys().
     std::uint32_t m_KeyGeneration = 0;
   };
 
-  static void schedule(Source &Each, TimePoint After);
-  static std::string drawKey(Source &Each);
-  std::size_t nextSource() const;
+  static void schedule(StreamState &State, TimePoint After);
+  static std::string drawKey(StreamState &State);
+  std::size_t nextStream() const;
 
-  std::vector<Source> m_Sources;
+  std::vector<StreamState> m_StreamStates;
 };
 
 } // namespace balsamwheel::bench
--- a/bench/core/http_server.cpp
+++ b/bench/core/http_server.cpp
@@ -1,4 +1,4 @@
-// libmicrohttpd server with suspended connections for late answers.
+// Suspends libmicrohttpd connections until their answer is there.
 #include "bench/core/http_server.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
   return Found == m_Headers.end() ? std::string() : Found->second;
 }
 
-std::uint64_t ServerRequest::number(const std::string &LowerName) const {
+std::uint64_t ServerRequest::numericHeader(const std::string &LowerName) const {
   const std::string Text = header(LowerName);
   std::uint64_t Value = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), Value);
@@ -26,7 +26,7 @@
 
 namespace {
 
-/// One request and the state of its answer.
+/// One request, the state of its answer and its connection.
 class Exchange final : public Responder {
 public:
   explicit Exchange(MHD_Connection *Connection) : m_Connection(Connection) {}
@@ -41,7 +41,8 @@
       resume();
   }
 
-  /// Suspends the connection unless the answer is there.
+  /// Suspends the connection unless the answer is there already. \returns
+  /// whether it is suspended.
   bool suspendUnlessAnswered() {
     const std::lock_guard Lock(m_Mutex);
     if (m_Answered)
@@ -84,7 +85,7 @@
   ServerAnswer m_Answer;
   bool m_Answered = false;
   bool m_Suspended = false;
-  /// The connection is gone; m_Connection must not be used.
+  /// The connection has ended, and m_Connection must not be used.
   bool m_Closed = false;
 };
 
@@ -122,7 +123,7 @@
   }
 
   ~Impl() {
-    dropAll();
+    closeAll();
     MHD_stop_daemon(m_Daemon);
   }
 
@@ -137,31 +138,31 @@
                               const char *Url, const char *Method, const char *,
                               const char *Data, std::size_t *Size,
                               void **Context) {
-    return static_cast<Impl *>(Self)->step(Connection, Url, Method, Data, Size,
-                                           Context);
+    return static_cast<Impl *>(Self)->handleStep(Connection, Url, Method, Data,
+                                                 Size, Context);
   }
 
   static void onCompleted(void *Self, MHD_Connection *, void **Context,
                           MHD_RequestTerminationCode) {
-    auto *Held = static_cast<ExchangePtr *>(*Context);
-    if (Held == nullptr)
+    auto *Current = static_cast<ExchangePtr *>(*Context);
+    if (Current == nullptr)
       return;
-    (*Held)->close();
-    static_cast<Impl *>(Self)->forget(*Held);
-    delete Held;
+    (*Current)->close();
+    static_cast<Impl *>(Self)->removeOpen(*Current);
+    delete Current;
     *Context = nullptr;
   }
 
-  MHD_Result step(MHD_Connection *Connection, const char *Url,
-                  const char *Method, const char *Data, std::size_t *Size,
-                  void **Context) {
+  MHD_Result handleStep(MHD_Connection *Connection, const char *Url,
+                        const char *Method, const char *Data, std::size_t *Size,
+                        void **Context) {
     if (*Context == nullptr) {
       auto Opened = std::make_shared<Exchange>(Connection);
       Opened->m_Request.m_Method = Method;
       Opened->m_Request.m_Path = Url;
       MHD_get_connection_values(Connection, MHD_HEADER_KIND, &collectHeader,
                                 &Opened->m_Request.m_Headers);
-      remember(Opened);
+      addOpen(Opened);
       *Context = new ExchangePtr(std::move(Opened));
       return MHD_YES;
     }
@@ -181,17 +182,17 @@
     return Current.queueAnswer();
   }
 
-  void remember(const ExchangePtr &Opened) {
+  void addOpen(const ExchangePtr &Opened) {
     const std::lock_guard Lock(m_Mutex);
     m_Open.insert(Opened);
   }
 
-  void forget(const ExchangePtr &Ended) {
+  void removeOpen(const ExchangePtr &Ended) {
     const std::lock_guard Lock(m_Mutex);
     m_Open.erase(Ended);
   }
 
-  void dropAll() {
+  void closeAll() {
     std::set<ExchangePtr> Open;
     {
       const std::lock_guard Lock(m_Mutex);
@@ -207,7 +208,7 @@
   ServerHandler m_Handler;
   MHD_Daemon *m_Daemon = nullptr;
   std::mutex m_Mutex;
-  /// Requests that are not completed.
+  /// Exchanges whose connection has not ended.
   std::set<ExchangePtr> m_Open;
 };
 
--- a/bench/core/journal.cpp
+++ b/bench/core/journal.cpp
@@ -1,4 +1,5 @@
-// JSON lines: {"run","ticket",...}; tickets are unique in one run.
+// JSON lines. The two lines of an order share its "ticket", which is unique in
+// the file. Times are in microseconds since boot.
 #include "bench/core/journal.h"
 
 #include "bench/core/clock.h"
@@ -14,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-/// Distinguishes runs that append to the same file.
+/// Makes tickets unique over the processes that append to one file.
 std::string ticketName(std::uint64_t Ticket) {
   return std::to_string(getpid()) + "-" + std::to_string(Ticket);
 }
@@ -45,10 +46,10 @@
 
 void Journal::write(const std::string &Line) const {
   if (m_File >= 0 && ::write(m_File, Line.data(), Line.size()) < 0)
-    throw std::runtime_error("cannot write the journal");
+    throw std::runtime_error("cannot write to the journal");
 }
 
-void Journal::began(std::uint64_t Ticket, const Execution &Order) {
+void Journal::recordStart(std::uint64_t Ticket, const Execution &Order) {
   if (m_File < 0)
     return;
   const Json Line = {
@@ -59,7 +60,7 @@
   write(Line.dump() + "\n");
 }
 
-void Journal::ended(std::uint64_t Ticket, const Execution &Order) {
+void Journal::recordEnd(std::uint64_t Ticket, const Execution &Order) {
   if (m_File < 0 || !Order.m_End)
     return;
   const Json Line = {{"ticket", ticketName(Ticket)},
--- a/bench/core/payload.cpp
+++ b/bench/core/payload.cpp
@@ -1,4 +1,5 @@
-// A header line "ID FILLER_LENGTH HASH", then the filler.
+// Layout: a header line "REQUEST_ID FILLER_LENGTH FILLER_HASH", then the
+// filler.
 #include "bench/core/payload.h"
 
 #include "balsamwheel/detail/core/hash.h"
@@ -28,7 +29,7 @@
   return headerOf(RequestId, Filler) + Filler;
 }
 
-bool isWholePayload(std::string_view Body, std::string_view RequestId) {
+bool isIntactPayload(std::string_view Body, std::string_view RequestId) {
   const std::size_t End = Body.find('\n');
   if (End == std::string_view::npos)
     return false;
--- a/bench/core/signals.h
+++ b/bench/core/signals.h
@@ -1,14 +1,16 @@
-// Waiting for SIGTERM and SIGINT.
+// Waits for SIGTERM or SIGINT.
 #pragma once
 
 namespace balsamwheel::bench {
 
-/// Blocks both signals for this thread and those it starts later. Make one
-/// before any thread.
+/// Masks SIGTERM and SIGINT in the constructor, for the calling thread and the
+/// threads that it starts later. Construct it before starting any thread. The
+/// destructor does not restore the signal mask.
 class SignalWaiter {
 public:
   SignalWaiter();
-  void waitForEnd() const;
+  /// Waits until SIGTERM or SIGINT is pending and consumes it.
+  void waitForTermination() const;
 };
 
 } // namespace balsamwheel::bench
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,5 +1,6 @@
-// Embeds three coordinators in one process: they share a table in memory, join
-// a group, divide a service's shards, and print who owns what.
+// Example: runs three coordinators in one process on a shared in-memory table.
+// They join a group and divide a service's shards; the program prints the
+// number of shards that each one owns.
 #include <balsamwheel/coordination.h>
 #include <balsamwheel/detail/coordination/head_row.h>
 
@@ -13,29 +14,30 @@
 
 using namespace balsamwheel;
 
-/// The smallest table that keeps the rules: conditions, then writes.
+/// Minimal in-memory table with conditional commits: either all conditions hold
+/// and all writes are applied, or nothing changes.
 class MemoryTable {
 public:
-  TableReply read(const TableRead &What) const {
+  TableReply read(const TableRead &Query) const {
     TableReply Reply{.m_Status = TableStatus::Ok, .m_Rows = {}};
-    for (const RowKey &Key : What.m_Keys)
+    for (const RowKey &Key : Query.m_Keys)
       Reply.m_Rows.push_back(get(Key));
-    for (const std::string &Prefix : What.m_Prefixes)
+    for (const std::string &Prefix : Query.m_Prefixes)
       for (const auto &[Key, Stored] : m_Rows)
         if (Key.value().starts_with(Prefix))
           Reply.m_Rows.push_back(Stored);
     return Reply;
   }
 
-  TableReply commit(const Transaction &What) {
+  TableReply commit(const Transaction &Commit) {
     TableReply Reply{.m_Status = TableStatus::Conflict, .m_Rows = {}};
-    for (const RowCondition &Condition : What.m_Conditions)
+    for (const RowCondition &Condition : Commit.m_Conditions)
       if (get(Condition.m_Key).m_Version != Condition.m_Version)
         Reply.m_Rows.push_back(get(Condition.m_Key));
     if (!Reply.m_Rows.empty())
       return Reply;
     Reply.m_Status = TableStatus::Ok;
-    for (const RowWrite &Write : What.m_Writes)
+    for (const RowWrite &Write : Commit.m_Writes)
       Reply.m_Rows.push_back(put(Write));
     return Reply;
   }
@@ -60,15 +62,15 @@
   std::uint64_t m_LastVersion = 0;
 };
 
-struct Participant {
+struct Process {
   PeerAddress m_Address;
   Coordinator m_Coordinator;
 };
 
-/// Carries out the effects of all participants and lets time pass.
-class Loop {
+/// Executes the effects of all coordinators and advances simulated time.
+class Simulation {
 public:
-  explicit Loop(MemoryTable &Table) : m_Table(Table) {}
+  explicit Simulation(MemoryTable &Table) : m_Table(Table) {}
 
   void add(const std::string &Name, std::uint64_t Seed) {
     const PeerAddress Address(Name + ":1");
@@ -77,41 +79,41 @@
                                .m_Region = RegionName("here"),
                                .m_Peer = Address,
                                .m_CallerAddress = Name + ":80"};
-    m_Participants.push_back({Address, Coordinator(std::move(Options), Seed)});
-    m_Participants.back().m_Coordinator.start(m_Now);
-    m_Participants.back().m_Coordinator.onTargetReady(ServiceName("orders"), 10,
-                                                      m_Now);
+    m_Processes.push_back({Address, Coordinator(std::move(Options), Seed)});
+    m_Processes.back().m_Coordinator.start(m_Now);
+    m_Processes.back().m_Coordinator.onTargetReady(ServiceName("orders"),
+                                                   /*Slots=*/10, m_Now);
   }
 
   void run(Duration Length) {
     constexpr Duration Step = std::chrono::milliseconds(5);
     for (const TimePoint End = m_Now + Length; m_Now < End; m_Now += Step)
-      for (Participant &Each : m_Participants) {
+      for (Process &Each : m_Processes) {
         Each.m_Coordinator.onTick(m_Now);
-        carryOut(Each);
+        execute(Each);
       }
   }
 
-  std::vector<Participant> m_Participants;
+  std::vector<Process> m_Processes;
 
 private:
-  void carryOut(Participant &Each) {
-    for (const Effect &Wanted : Each.m_Coordinator.takeEffects()) {
-      if (const auto *Read = std::get_if<ReadTable>(&Wanted))
+  void execute(Process &Each) {
+    for (const Effect &Item : Each.m_Coordinator.takeEffects()) {
+      if (const auto *Read = std::get_if<ReadTable>(&Item))
         Each.m_Coordinator.onTableReply(Read->m_Ticket,
                                         m_Table.read(Read->m_Read), m_Now);
-      else if (const auto *Commit = std::get_if<CommitTable>(&Wanted))
+      else if (const auto *Commit = std::get_if<CommitTable>(&Item))
         Each.m_Coordinator.onTableReply(
             Commit->m_Ticket, m_Table.commit(Commit->m_Transaction), m_Now);
-      else if (const auto *Send = std::get_if<SendControl>(&Wanted))
+      else if (const auto *Send = std::get_if<SendControl>(&Item))
         deliver(Each, *Send);
     }
   }
 
-  void deliver(const Participant &From, const SendControl &Send) {
-    for (Participant &Each : m_Participants)
+  void deliver(const Process &Sender, const SendControl &Send) {
+    for (Process &Each : m_Processes)
       if (Each.m_Address == Send.m_To)
-        Each.m_Coordinator.onMessage(Send.m_Message, From.m_Address, m_Now);
+        Each.m_Coordinator.onMessage(Send.m_Message, Sender.m_Address, m_Now);
   }
 
   MemoryTable &m_Table;
@@ -127,10 +129,10 @@
   Config First;
   First.m_Version = ConfigVersion(1);
   First.m_Manifest.m_Services = {Orders};
-  Transaction Commit =
-      makeConfigCommit(Table.get(ConfigHeadRow), Config{}, First, WriteId(1));
-  appendHeadBump(Commit, *parseHeadRow(Table.get(HeadRowKey)),
-                 {{ConfigHeadRow, 1}});
+  Transaction Commit = makeConfigCommit(Table.get(ConfigHeadRowKey), Config{},
+                                        First, WriteId(1));
+  appendHeadUpdate(Commit, *parseHeadRow(Table.get(HeadRowKey)),
+                   {{ConfigHeadRowKey, 1}});
   Table.commit(Commit);
 }
 
@@ -139,14 +141,14 @@
 int main() {
   MemoryTable Table;
   commitFirstConfig(Table);
-  Loop Subject(Table);
-  Subject.add("a", 1);
-  Subject.add("b", 2);
-  Subject.add("c", 3);
-  Subject.run(std::chrono::seconds(10));
+  Simulation Cluster(Table);
+  Cluster.add("a", 1);
+  Cluster.add("b", 2);
+  Cluster.add("c", 3);
+  Cluster.run(std::chrono::seconds(10));
 
   std::size_t Owned = 0;
-  for (const Participant &Each : Subject.m_Participants) {
+  for (const Process &Each : Cluster.m_Processes) {
     const auto Status =
         Each.m_Coordinator.status(TimePoint(std::chrono::seconds(11)));
     std::cout << Each.m_Address.value() << " owns " << Status.m_ShardsOwned
--- a/include/balsamwheel/detail/coordination/head_poller.h
+++ b/include/balsamwheel/detail/coordination/head_poller.h
@@ -1,4 +1,5 @@
-// Brings the view up to the table: reads the head row, then what changed.
+// Brings the view up to date with the table: reads the head row, then the rows
+// that changed.
 #pragma once
 
 #include "balsamwheel/detail/coordination/context.h"
@@ -10,35 +11,36 @@
 
 class HeadPoller {
 public:
+  /// \param Ok whether the view is up to date.
   using Done = std::function<void(bool Ok, TimePoint Now)>;
 
   explicit HeadPoller(CoordinationContext &Context) : m_Context(&Context) {}
 
-  /// Reads everything; for a daemon that knows nothing.
-  void readAll(TimePoint Now, Done WhenDone);
-  /// Reads the head row, \p Also and all that is older than the head says.
-  /// Waits for a poll that is under way to end first.
-  void poll(TimePoint Now, std::vector<RowKey> Also, Done WhenDone);
-  /// When the view was last known to be up to date.
-  TimePoint freshAt() const { return m_FreshAt; }
-  /// A commit conditional on the head row was applied.
-  void noteFresh(TimePoint Now) { m_FreshAt = Now; }
+  /// Reads all rows; for a daemon whose view is empty.
+  void readAll(TimePoint Now, Done OnDone);
+  /// Reads the head row, \p ExtraKeys and every row whose known counter is
+  /// below the one in the head row. Queued while another poll is running.
+  void poll(TimePoint Now, std::vector<RowKey> ExtraKeys, Done OnDone);
+  /// The latest time at which the view is known to have been up to date.
+  TimePoint upToDateAt() const { return m_UpToDateAt; }
+  /// Records that a commit conditional on the head row was applied.
+  void markUpToDate(TimePoint Now) { m_UpToDateAt = Now; }
   bool isBusy() const { return m_Busy; }
 
 private:
-  struct Queued {
-    std::vector<RowKey> m_Also;
+  struct QueuedPoll {
+    std::vector<RowKey> m_ExtraKeys;
     Done m_Done;
   };
 
-  void readStale(TimePoint Sent, int Attempt, TimePoint Now);
-  void finish(bool Ok, TimePoint Sent, TimePoint Now);
+  void readStale(TimePoint SentAt, int Round, TimePoint Now);
+  void finish(bool Ok, TimePoint SentAt, TimePoint Now);
 
   CoordinationContext *m_Context;
   bool m_Busy = false;
-  TimePoint m_FreshAt;
-  std::vector<Done> m_Waiting;
-  std::vector<Queued> m_Queued;
+  TimePoint m_UpToDateAt;
+  std::vector<Done> m_Callbacks;
+  std::vector<QueuedPoll> m_Queued;
 };
 
 } // namespace balsamwheel
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Turns off one safety rule at a time and expects the soak's oracle to notice:
+# Mutation test of the soak: disables one safety rule per build and expects the
+# oracle of the soak to report a violation within STEPS steps:
 # scripts/mutants.sh [STEPS]. Prints "N of N caught".
 set -euo pipefail
 cd "$(dirname "$0")/.."
 STEPS=${1:-20000}
 SEED=${SEED:-1}
-RULES=(LeaseCheck EpochCompare TakerWait WriteIdSettling AtMostOnceRecord
+RULES=(LeaseCheck EpochCompare TakeoverWait WriteIdConfirmation AtMostOnceRecord
   MonotoneVersion YieldWait WitnessPromise)
 CAUGHT=0
 for ((I = 0; I < ${#RULES[@]}; I++)); do
--- a/src/adapters/peer_tcp/decode.cpp
+++ b/src/adapters/peer_tcp/decode.cpp
@@ -1,5 +1,5 @@
-// Decoding half of the peer codec. Input is untrusted: it is verified first,
-// and absent fields read as empty.
+// Decodes frames from other daemons. The input is untrusted: it is verified
+// first, and absent fields are decoded as empty.
 #include "adapters/peer_tcp/codec.h"
 #include "adapters/peer_tcp/error.h"
 #include "adapters/peer_tcp/peer_generated.h"
@@ -10,6 +10,7 @@
 
 namespace {
 
+/// Limits on the number and the nesting depth of tables in one frame.
 constexpr flatbuffers::uoffset_t MaxVerifierTables = 1'000'000;
 constexpr flatbuffers::uoffset_t MaxVerifierDepth = 16;
 
@@ -91,7 +92,7 @@
           .m_Session = SessionId(Value.session()),
           .m_Sequence = Value.sequence(),
           .m_ConfigApplied = ConfigVersion(Value.config_applied()),
-          .m_MapSeen = Value.map_seen(),
+          .m_HeadVersionSeen = Value.map_seen(),
           .m_Entry = text(Value.entry())};
 }
 
@@ -99,10 +100,10 @@
   return {.m_Group = Value.group(),
           .m_Session = SessionId(Value.session()),
           .m_SequenceCommitted = Value.sequence_committed(),
-          .m_GroupRow = RowVersion(Value.group_row()),
+          .m_GroupRowVersion = RowVersion(Value.group_row()),
           .m_Head = RowVersion(Value.head()),
           .m_Expelled = Value.expelled(),
-          .m_NextBeatIn = Duration(Value.next_beat_in())};
+          .m_NextHeartbeatIn = Duration(Value.next_beat_in())};
 }
 
 ExtendRequest fromWire(const wire::ExtendRequest &Value) {
@@ -110,9 +111,9 @@
           .m_Sequence = Value.sequence(),
           .m_SequenceCommitted = Value.sequence_committed(),
           .m_Group = Value.group(),
-          .m_GroupRow = RowVersion(Value.group_row()),
+          .m_GroupRowVersion = RowVersion(Value.group_row()),
           .m_ConfigApplied = ConfigVersion(Value.config_applied()),
-          .m_MapSeen = Value.map_seen()};
+          .m_HeadVersionSeen = Value.map_seen()};
 }
 
 ExtendReply fromWire(const wire::ExtendReply &Value) {
@@ -126,7 +127,7 @@
   return {.m_Subject = SessionId(Value.subject()),
           .m_Sequence = Value.sequence(),
           .m_Group = Value.group(),
-          .m_GroupRow = RowVersion(Value.group_row())};
+          .m_GroupRowVersion = RowVersion(Value.group_row())};
 }
 
 PromiseReply fromWire(const wire::PromiseReply &Value) {
@@ -134,7 +135,7 @@
           .m_Witness = SessionId(Value.witness()),
           .m_Sequence = Value.sequence(),
           .m_Group = Value.group(),
-          .m_GroupRow = RowVersion(Value.group_row()),
+          .m_GroupRowVersion = RowVersion(Value.group_row()),
           .m_Promised = Value.promised()};
 }
 
@@ -207,7 +208,7 @@
           .m_Stream = Value.stream(),
           .m_To = SessionId(Value.receiver()),
           .m_Epoch = Epoch(Value.epoch()),
-          .m_Query = Value.query()};
+          .m_ClearingQuery = Value.query()};
 }
 
 ForwardReceipt fromWire(const wire::ForwardReceipt &Value) {
@@ -222,7 +223,7 @@
           .m_Owner = SessionId(Value.owner()),
           .m_Epoch = Epoch(Value.epoch()),
           .m_MemoryAge = Duration(Value.memory_age()),
-          .m_Former = SessionId(Value.former()),
+          .m_FormerOwner = SessionId(Value.former()),
           .m_Http = httpAnswer(Value.http())};
 }
 
@@ -230,8 +231,8 @@
   return {.m_Stream = Value.stream(),
           .m_Meta = meta(Value.meta()),
           .m_To = SessionId(Value.receiver()),
-          .m_Forward = Value.forward(),
-          .m_Asked = Value.asked()};
+          .m_ForwardStream = Value.forward(),
+          .m_AskedSessionsDigest = Value.asked()};
 }
 
 ForwardCancel fromWire(const wire::ForwardCancel &Value) {
@@ -281,9 +282,9 @@
 
 template <typename T> bool fieldsInRange(const T & /*Value*/) { return true; }
 
-/// Puts a message into the innermost variant that holds its type.
-template <typename Group, typename T> WireMessage wrap(T Value) {
-  return PeerMessage(Group(std::move(Value)));
+/// Wraps a message in the variant that it belongs to, and that in PeerMessage.
+template <typename MessageVariant, typename T> WireMessage wrap(T Value) {
+  return PeerMessage(MessageVariant(std::move(Value)));
 }
 
 template <typename T> WireMessage wrapAny(T Value) {
@@ -368,9 +369,9 @@
                        WireMessage &Message) {
   if (Bytes.size() > MaxFrameBytes)
     return TransportError::FrameTooLarge;
-  flatbuffers::Verifier Check(Bytes.data(), Bytes.size(), MaxVerifierDepth,
-                              MaxVerifierTables);
-  if (!wire::VerifyFrameBuffer(Check))
+  flatbuffers::Verifier FrameVerifier(Bytes.data(), Bytes.size(),
+                                      MaxVerifierDepth, MaxVerifierTables);
+  if (!wire::VerifyFrameBuffer(FrameVerifier))
     return TransportError::MalformedFrame;
   const wire::Frame &Frame = *wire::GetFrame(Bytes.data());
   if (Frame.message() == nullptr)
--- a/src/adapters/peer_tcp/tcp_transport.cpp
+++ b/src/adapters/peer_tcp/tcp_transport.cpp
@@ -1,4 +1,5 @@
-// The reactor thread: accepts, connects, and passes messages on.
+// The reactor thread: accepts and opens connections, sends and delivers
+// messages.
 #include "adapters/peer_tcp/tcp_transport.h"
 
 #include "adapters/peer_tcp/connection.h"
@@ -22,15 +23,17 @@
 
 namespace {
 
-/// Commands waiting for the reactor; beyond it messages are dropped.
+/// Maximum number of queued commands; further commands are dropped.
 constexpr std::size_t MaxCommands = 65'536;
-/// Handles beyond the connections: listener, notification, reactor.
+/// Handles reserved in the reactor besides those of the connections: listening
+/// socket, notification, the reactor's own.
 constexpr std::size_t SpareHandles = 64;
 constexpr int ListenBacklog = 1024;
-/// An unanswered connection attempt is given up after this time.
+/// Time-out of a connection attempt: 1 s.
 const ACE_Time_Value ConnectTimeout(1, 0);
 
-/// What other threads ask of the reactor. An empty frame means reset.
+/// A request from another thread to the reactor's thread. An empty frame resets
+/// the connections to the peer.
 struct Command {
   PeerAddress m_Peer;
   std::vector<std::uint8_t> m_Frame;
@@ -44,7 +47,7 @@
 } // namespace
 
 class TcpTransport::Impl final : public ACE_Event_Handler,
-                                 public ConnectionOwner {
+                                 public ConnectionHandler {
 public:
   Impl(TcpTransportOptions Options, PeerHandlers Handlers)
       : m_Options(std::move(Options)), m_Handlers(std::move(Handlers)),
@@ -67,14 +70,14 @@
     return {};
   }
 
-  void submit(Command Request) {
+  void submit(Command Posted) {
     {
       const std::lock_guard Lock(m_Mutex);
       if (m_Commands.size() >= MaxCommands)
         return;
-      m_Commands.push_back(std::move(Request));
+      m_Commands.push_back(std::move(Posted));
     }
-    if (!m_Notified.exchange(true))
+    if (!m_NotifyPending.exchange(true))
       m_Reactor.notify(this, ACE_Event_Handler::EXCEPT_MASK);
   }
 
@@ -96,32 +99,32 @@
       if (m_Acceptor.accept(Accepted->stream()) != 0)
         return 0;
       if (m_Connections.size() < m_Options.m_MaxConnections && Accepted->open())
-        adopt(std::move(Accepted));
+        addConnection(std::move(Accepted));
     }
   }
 
   int handle_exception(ACE_HANDLE /*Handle*/) override {
-    m_Notified.store(false);
+    m_NotifyPending.store(false);
     std::deque<Command> Commands;
     {
       const std::lock_guard Lock(m_Mutex);
       Commands.swap(m_Commands);
     }
-    std::vector<Connection *> Touched;
-    for (Command &Request : Commands) {
-      if (Request.m_Frame.empty())
-        resetPeer(Request.m_Peer);
+    std::vector<Connection *> ToFlush;
+    for (Command &Posted : Commands) {
+      if (Posted.m_Frame.empty())
+        resetPeer(Posted.m_Peer);
       else
-        sendFrame(Request, Touched);
+        sendFrame(Posted, ToFlush);
     }
-    for (Connection *Target : Touched)
-      Target->flush();
+    for (Connection *PeerConnection : ToFlush)
+      PeerConnection->flush();
     return 0;
   }
 
   int handle_timeout(const ACE_Time_Value & /*Now*/,
                      const void *Argument) override {
-    // The connection may be gone; compare its address only.
+    // The connection may have been destroyed: use the pointer only as a key.
     const auto Found = m_Connections.find(
         static_cast<Connection *>(const_cast<void *>(Argument)));
     if (Found != m_Connections.end() &&
@@ -131,14 +134,14 @@
   }
 
   void onMessage(Connection &Source, WireMessage Message) override {
-    Source.touch(++m_Stamp);
-    if (const Hello *Greeting = std::get_if<Hello>(&Message)) {
-      if (Greeting->m_Version != ProtocolVersion) {
+    Source.markUsed(++m_UseCounter);
+    if (const Hello *HelloMessage = std::get_if<Hello>(&Message)) {
+      if (HelloMessage->m_Version != ProtocolVersion) {
         Source.close();
         return;
       }
-      Source.setPeer(Greeting->m_Listen);
-      m_ByPeer.try_emplace(Greeting->m_Listen, &Source);
+      Source.setPeer(HelloMessage->m_Listen);
+      m_ByPeer.try_emplace(HelloMessage->m_Listen, &Source);
       return;
     }
     if (Source.peer().value().empty()) {
@@ -151,15 +154,16 @@
 
   void onClosed(Connection &Closed) override {
     const auto ByPeer = m_ByPeer.find(Closed.peer());
-    const bool WasUsed = ByPeer != m_ByPeer.end() && ByPeer->second == &Closed;
-    if (WasUsed)
+    const bool WasSendConnection =
+        ByPeer != m_ByPeer.end() && ByPeer->second == &Closed;
+    if (WasSendConnection)
       m_ByPeer.erase(ByPeer);
     const auto Found = m_Connections.find(&Closed);
     if (Found != m_Connections.end()) {
-      m_Graveyard.push_back(std::move(Found->second));
+      m_ClosedConnections.push_back(std::move(Found->second));
       m_Connections.erase(Found);
     }
-    if (WasUsed && !m_Stopping.load())
+    if (WasSendConnection && !m_Stopping.load())
       m_Handlers.m_OnLost(Closed.peer());
   }
 
@@ -168,37 +172,38 @@
     m_Reactor.owner(ACE_OS::thr_self());
     while (!m_Stopping.load()) {
       m_Reactor.handle_events();
-      m_Graveyard.clear();
+      m_ClosedConnections.clear();
     }
     m_Reactor.remove_handler(this, ACE_Event_Handler::ALL_EVENTS_MASK |
                                        ACE_Event_Handler::DONT_CALL);
     m_Reactor.cancel_timer(this);
     while (!m_Connections.empty())
       m_Connections.begin()->second->close();
-    m_Graveyard.clear();
+    m_ClosedConnections.clear();
   }
 
-  Connection &adopt(std::unique_ptr<Connection> Added) {
-    Connection &Result = *Added;
-    Result.touch(++m_Stamp);
-    m_Connections.emplace(&Result, std::move(Added));
+  Connection &addConnection(std::unique_ptr<Connection> NewConnection) {
+    Connection &Result = *NewConnection;
+    Result.markUsed(++m_UseCounter);
+    m_Connections.emplace(&Result, std::move(NewConnection));
     return Result;
   }
 
-  void sendFrame(const Command &Request, std::vector<Connection *> &Touched) {
-    Connection *Target = findOrConnect(Request.m_Peer);
-    if (Target == nullptr) {
-      m_Handlers.m_OnLost(Request.m_Peer);
+  void sendFrame(const Command &Posted, std::vector<Connection *> &ToFlush) {
+    Connection *PeerConnection = findOrConnect(Posted.m_Peer);
+    if (PeerConnection == nullptr) {
+      m_Handlers.m_OnLost(Posted.m_Peer);
       return;
     }
-    if (Target->queuedBytes() > m_Options.m_MaxQueuedBytes) {
-      Target->close();
+    if (PeerConnection->queuedBytes() > m_Options.m_MaxQueuedBytes) {
+      PeerConnection->close();
       return;
     }
-    Target->touch(++m_Stamp);
-    Target->queue(Request.m_Frame);
-    if (std::find(Touched.begin(), Touched.end(), Target) == Touched.end())
-      Touched.push_back(Target);
+    PeerConnection->markUsed(++m_UseCounter);
+    PeerConnection->queue(Posted.m_Frame);
+    if (std::find(ToFlush.begin(), ToFlush.end(), PeerConnection) ==
+        ToFlush.end())
+      ToFlush.push_back(PeerConnection);
   }
 
   Connection *findOrConnect(const PeerAddress &Peer) {
@@ -214,16 +219,16 @@
   }
 
   Connection *connect(const PeerAddress &Peer, const ACE_INET_Addr &Address) {
-    auto Added = std::make_unique<Connection>(*this, m_Reactor,
-                                              ConnectionState::Connecting);
+    auto NewConnection = std::make_unique<Connection>(
+        *this, m_Reactor, ConnectionState::Connecting);
     ACE_SOCK_Connector Connector;
-    const int Status =
-        Connector.connect(Added->stream(), Address, &ACE_Time_Value::zero);
+    const int Status = Connector.connect(NewConnection->stream(), Address,
+                                         &ACE_Time_Value::zero);
     if (Status != 0 && errno != EWOULDBLOCK && errno != EINPROGRESS)
       return nullptr;
-    if (!Added->open())
+    if (!NewConnection->open())
       return nullptr;
-    Connection &Result = adopt(std::move(Added));
+    Connection &Result = addConnection(std::move(NewConnection));
     Result.setPeer(Peer);
     Result.queue(encode(Hello{.m_Listen = advertised(m_Options)}));
     m_ByPeer[Peer] = &Result;
@@ -250,7 +255,6 @@
       Candidate->close();
   }
 
-  // Life span: process.
   const TcpTransportOptions m_Options;
   const PeerHandlers m_Handlers;
   ACE_Reactor m_Reactor;
@@ -258,19 +262,21 @@
   std::thread m_Thread;
   std::atomic<bool> m_Stopping{false};
 
-  // Shared between the callers of send() and the reactor.
+  // Shared between the reactor's thread and the callers of send() and reset().
   std::mutex m_Mutex;
   std::deque<Command> m_Commands;
-  std::atomic<bool> m_Notified{false};
+  std::atomic<bool> m_NotifyPending{false};
 
-  // Only the reactor's thread touches these.
+  // Accessed only by the reactor's thread.
   std::unordered_map<Connection *, std::unique_ptr<Connection>> m_Connections;
-  /// The connection that send() uses for each peer; points into
+  /// The connection on which messages to each peer are sent; points into
   /// m_Connections.
   std::unordered_map<PeerAddress, Connection *> m_ByPeer;
-  /// Closed connections, destroyed when no handler of theirs is running.
-  std::vector<std::unique_ptr<Connection>> m_Graveyard;
-  std::uint64_t m_Stamp = 0;
+  /// Closed connections, destroyed after event handling, when none of their
+  /// handlers is running.
+  std::vector<std::unique_ptr<Connection>> m_ClosedConnections;
+  /// Incremented at each use of a connection; orders connections by last use.
+  std::uint64_t m_UseCounter = 0;
 };
 
 TcpTransport::TcpTransport(TcpTransportOptions Options, PeerHandlers Handlers)
@@ -280,8 +286,8 @@
 
 std::error_code TcpTransport::start() { return m_Impl->start(); }
 
-void TcpTransport::send(const PeerAddress &To, PeerMessage Message) {
-  m_Impl->submit({.m_Peer = To, .m_Frame = encode(std::move(Message))});
+void TcpTransport::send(const PeerAddress &Receiver, PeerMessage Message) {
+  m_Impl->submit({.m_Peer = Receiver, .m_Frame = encode(std::move(Message))});
 }
 
 void TcpTransport::reset(const PeerAddress &Peer) {
--- a/src/adapters/target_http/announcement.cpp
+++ b/src/adapters/target_http/announcement.cpp
@@ -1,4 +1,4 @@
-// Parsing of announcements.
+// Parses announcements.
 #include "adapters/target_http/announcement.h"
 
 #include "adapters/http_server/listen_address.h"
@@ -11,10 +11,11 @@
 
 using Json = nlohmann::json;
 
+/// Upper bound for slots and connections.
 constexpr std::int64_t MaxCount = 100'000;
 
-/// 0 for anything but a positive number within bounds.
-std::uint32_t countOf(const Json &Value) {
+/// Returns 0 unless the value is an integer from 1 to MaxCount.
+std::uint32_t readCount(const Json &Value) {
   const auto Count = Value.get<std::int64_t>();
   return Count > 0 && Count <= MaxCount ? static_cast<std::uint32_t>(Count) : 0;
 }
@@ -26,8 +27,8 @@
   if (Result.m_Leaving)
     return Result;
   Result.m_Address = Value.at("address").get<std::string>();
-  Result.m_Slots = countOf(Value.at("slots"));
-  Result.m_Connections = countOf(Value.at("connections"));
+  Result.m_Slots = readCount(Value.at("slots"));
+  Result.m_Connections = readCount(Value.at("connections"));
   Result.m_Cold = Value.value("cold", false);
   Result.m_ChecksFences = Value.value("checks_fences", false);
   return Result;
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -1,4 +1,4 @@
-// Commands that check, compare or change the configuration.
+// Commands that validate, compare, show or change the configuration.
 #include "cli/change_commands.h"
 
 #include "balsamwheel/manifest.h"
@@ -29,7 +29,7 @@
   return Result;
 }
 
-const char *mark(ChangeKind Kind) {
+const char *changeSign(ChangeKind Kind) {
   switch (Kind) {
   case ChangeKind::Added:
     return "+";
@@ -42,7 +42,8 @@
 }
 
 std::string describe(const ManifestChange &Change) {
-  std::string Result = std::string(mark(Change.m_Kind)) + " " + Change.m_Path;
+  std::string Result =
+      std::string(changeSign(Change.m_Kind)) + " " + Change.m_Path;
   if (!Change.m_Before.empty())
     Result += " " + Change.m_Before;
   if (Change.m_Kind == ChangeKind::Changed)
@@ -52,52 +53,56 @@
   return Result;
 }
 
-std::string joined(const std::vector<std::string> &Lines) {
+std::string joinLines(const std::vector<std::string> &Lines) {
   std::string Result;
   for (const std::string &Line : Lines)
     Result += (Result.empty() ? "" : "\n") + Line;
   return Result;
 }
 
-std::string names(const std::vector<InstanceName> &Instances) {
+std::string joinNames(const std::vector<InstanceName> &Instances) {
   std::string Result;
   for (const InstanceName &Name : Instances)
     Result += (Result.empty() ? "" : ", ") + Name.value();
   return Result;
 }
 
-/// Commits and, unless told otherwise, waits until the change is in force.
+/// Commits a configuration and waits until all members have applied it. Doesn't
+/// wait if the time limit is 0.
 CommandResult commitAndWait(const CommonOptions &Common, TableSession &Table,
                             const ClusterRows &Base, const Config &Next,
-                            const std::string &What) {
+                            const std::string &Action) {
   if (const std::error_code Error = commitConfig(Table, Base, Next))
-    return failure(Error, What);
+    return failure(Error, Action);
   const std::uint64_t Version = Next.m_Version.value();
   CommandResult Result;
   Result.m_Json = {{"version", Version}, {"in_force", false}};
-  Result.m_Text = What + ": committed as version " + std::to_string(Version);
+  Result.m_Text = Action + ": committed as version " + std::to_string(Version);
   if (Common.m_InForceLimit.count() == 0)
     return Result;
-  const auto Late = waitInForce(Table, Next.m_Version, Common.m_InForceLimit);
-  if (Late.empty()) {
+  const auto Lagging =
+      waitInForce(Table, Next.m_Version, Common.m_InForceLimit);
+  if (Lagging.empty()) {
     Result.m_Json["in_force"] = true;
     Result.m_Text += ", in force everywhere";
     return Result;
   }
   Result.m_Error = CliError::NotInForce;
-  Result.m_Text += ", but not yet in force at: " + names(Late);
-  for (const InstanceName &Name : Late)
+  Result.m_Text += ", but not yet in force at: " + joinNames(Lagging);
+  for (const InstanceName &Name : Lagging)
     Result.m_Json["lagging"].push_back(Name.value());
   return Result;
 }
 
-Config nextOf(const Config &Base) {
+Config nextVersionOf(const Config &Base) {
   Config Next = Base;
   Next.m_Version = ConfigVersion(Base.m_Version.value() + 1);
   return Next;
 }
 
-/// Adds a name to, or removes it from, a sorted list; false if unchanged.
+/// Adds or removes a name in a sorted list.
+///
+/// \returns false if the list already was as required.
 template <typename Name>
 bool setPresent(std::vector<Name> &List, const Name &Value, bool Present) {
   const auto Place = std::ranges::lower_bound(List, Value);
@@ -111,35 +116,36 @@
   return true;
 }
 
-bool knowsDomain(const Config &Known, const DomainName &Name) {
+bool hasDomain(const Config &Known, const DomainName &Name) {
   return std::ranges::any_of(
       Known.m_Manifest.m_Domains,
       [&](const FailureDomain &Domain) { return Domain.m_Name == Name; });
 }
 
-CommandResult unchanged(const Config &Current, const std::string &Why) {
+CommandResult unchanged(const Config &Current, const std::string &Explanation) {
   CommandResult Result;
-  Result.m_Text = Why + "; nothing was changed";
+  Result.m_Text = Explanation + "; nothing was changed";
   Result.m_Json = {{"version", Current.m_Version.value()}, {"changed", false}};
   return Result;
 }
 
-CommandResult moveDomain(const CommonOptions &Common, const std::string &Name,
-                         bool Out) {
+CommandResult setDomainState(const CommonOptions &Common,
+                             const std::string &Name, bool TakeOut) {
   TableSession Table(Common.m_Platform, Common.m_TableLimit);
   ClusterRows Current;
   if (const std::error_code Error = readCluster(Table, Current))
     return failure(Error);
   const DomainName Domain(Name);
-  if (!knowsDomain(Current.m_Config, Domain))
+  if (!hasDomain(Current.m_Config, Domain))
     return failure(CliError::InvalidInput,
                    "the manifest has no failure domain '" + Name + "'");
-  Config Next = nextOf(Current.m_Config);
-  if (!setPresent(Next.m_DomainsOut, Domain, Out))
+  Config Next = nextVersionOf(Current.m_Config);
+  if (!setPresent(Next.m_DomainsOut, Domain, TakeOut))
     return unchanged(Current.m_Config, "failure domain '" + Name + "' is " +
-                                           (Out ? "out" : "in") + " already");
+                                           (TakeOut ? "out" : "in") +
+                                           " already");
   std::string Warning;
-  if (Out) {
+  if (TakeOut) {
     const auto Shortages =
         findShortages(Current.m_Config, Next, Current.m_Members);
     Warning = describeShortages(Shortages);
@@ -147,9 +153,9 @@
       return failure(CliError::Refused,
                      Warning + "\nrepeat with --force to do it all the same");
   }
-  CommandResult Result =
-      commitAndWait(Common, Table, Current, Next,
-                    "failure domain '" + Name + "' " + (Out ? "out" : "in"));
+  CommandResult Result = commitAndWait(Common, Table, Current, Next,
+                                       "failure domain '" + Name + "' " +
+                                           (TakeOut ? "out" : "in"));
   if (!Warning.empty())
     Result.m_Text = "warning: " + Warning + "\n" + Result.m_Text;
   return Result;
@@ -163,7 +169,7 @@
     return invalidManifest(Read.m_Problems);
   CommandResult Result;
   Result.m_Text =
-      File + ": good, " + std::to_string(Read.m_Manifest->m_Services.size()) +
+      File + ": valid, " + std::to_string(Read.m_Manifest->m_Services.size()) +
       " services in " + std::to_string(Read.m_Manifest->m_Domains.size()) +
       " failure domains";
   Result.m_Json = {{"valid", true}};
@@ -192,7 +198,7 @@
   }
   Result.m_Text = "against version " +
                   std::to_string(Current.m_Config.m_Version.value()) +
-                  (Lines.empty() ? ": no change" : ":\n" + joined(Lines));
+                  (Lines.empty() ? ": no changes" : ":\n" + joinLines(Lines));
   return Result;
 }
 
@@ -213,11 +219,11 @@
   const auto Reasons =
       incompatibleChanges(Current.m_Config.m_Manifest, *Read.m_Manifest);
   if (!Reasons.empty())
-    return failure(CliError::InvalidInput, joined(Reasons));
-  Config Next = nextOf(Current.m_Config);
+    return failure(CliError::InvalidInput, joinLines(Reasons));
+  Config Next = nextVersionOf(Current.m_Config);
   Next.m_Manifest = *Read.m_Manifest;
   std::erase_if(Next.m_DomainsOut, [&Next](const DomainName &Name) {
-    return !knowsDomain(Next, Name);
+    return !hasDomain(Next, Name);
   });
   return commitAndWait(Common, Table, Current, Next, "manifest");
 }
@@ -237,12 +243,12 @@
 
 CommandResult takeDomainOut(const CommonOptions &Common,
                             const std::string &Name) {
-  return moveDomain(Common, Name, /*Out=*/true);
+  return setDomainState(Common, Name, /*TakeOut=*/true);
 }
 
-CommandResult takeDomainIn(const CommonOptions &Common,
-                           const std::string &Name) {
-  return moveDomain(Common, Name, /*Out=*/false);
+CommandResult bringDomainIn(const CommonOptions &Common,
+                            const std::string &Name) {
+  return setDomainState(Common, Name, /*TakeOut=*/false);
 }
 
 CommandResult drainInstance(const CommonOptions &Common,
@@ -258,11 +264,11 @@
       });
   if (!Known && !Undo)
     return failure(CliError::InvalidInput, "no instance '" + Name + "'");
-  Config Next = nextOf(Current.m_Config);
+  Config Next = nextVersionOf(Current.m_Config);
   if (!setPresent(Next.m_Draining, Instance, !Undo))
     return unchanged(Current.m_Config,
                      "instance '" + Name + "' " +
-                         (Undo ? "does not drain" : "drains already"));
+                         (Undo ? "is not draining" : "is already draining"));
   return commitAndWait(Common, Table, Current, Next,
                        "instance '" + Name + "' " +
                            (Undo ? "stays" : "drains"));
--- a/src/cli/error.cpp
+++ b/src/cli/error.cpp
@@ -1,4 +1,4 @@
-// Texts of the command line's errors.
+// Messages of the command-line errors.
 #include "cli/error.h"
 
 #include <string>
--- a/src/cli/table_session.cpp
+++ b/src/cli/table_session.cpp
@@ -1,4 +1,4 @@
-// Blocking access to the platform's table for one command.
+// Blocking access to the platform's table for the duration of one command.
 #include "cli/table_session.h"
 
 #include "balsamwheel/detail/coordination/head_row.h"
@@ -13,7 +13,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds RepeatDelay{100};
+constexpr std::chrono::milliseconds RetryDelay{100};
 
 } // namespace
 
@@ -28,58 +28,58 @@
 
 WriteId randomWriteId() {
   std::random_device Source;
-  std::uniform_int_distribution<std::uint64_t> Any(1);
-  return WriteId(Any(Source));
+  std::uniform_int_distribution<std::uint64_t> NonZero(1);
+  return WriteId(NonZero(Source));
 }
 
 TableSession::TableSession(const std::string &Platform,
                            std::chrono::milliseconds Limit)
     : m_Client({.m_Address = stripUrl(Platform)}), m_Limit(Limit) {}
 
-TableReply TableSession::readOnce(const TableRead &What) {
+TableReply TableSession::readOnce(const TableRead &Query) {
   std::promise<TableReply> Answer;
-  m_Client.read(What, [&Answer](TableReply Reply) {
+  m_Client.read(Query, [&Answer](TableReply Reply) {
     Answer.set_value(std::move(Reply));
   });
   return Answer.get_future().get();
 }
 
-TableReply TableSession::commitOnce(const Transaction &What) {
+TableReply TableSession::commitOnce(const Transaction &Commit) {
   std::promise<TableReply> Answer;
-  m_Client.commit(What, [&Answer](TableReply Reply) {
+  m_Client.commit(Commit, [&Answer](TableReply Reply) {
     Answer.set_value(std::move(Reply));
   });
   return Answer.get_future().get();
 }
 
-std::optional<std::vector<Row>> TableSession::read(const TableRead &What) {
+std::optional<std::vector<Row>> TableSession::read(const TableRead &Query) {
   const Clock::time_point End = Clock::now() + m_Limit;
   do {
-    TableReply Reply = readOnce(What);
+    TableReply Reply = readOnce(Query);
     if (Reply.m_Status == TableStatus::Ok)
       return std::move(Reply.m_Rows);
-    std::this_thread::sleep_for(RepeatDelay);
+    std::this_thread::sleep_for(RetryDelay);
   } while (Clock::now() < End);
   return std::nullopt;
 }
 
-bool TableSession::wroteMarker(const Transaction &What, const RowKey &Marker) {
+bool TableSession::hasWriteId(const Transaction &Commit, const RowKey &Marker) {
   const auto Rows = read({.m_Keys = {Marker}, .m_Prefixes = {}});
   return Rows && !Rows->empty() &&
-         writeIdOf(Rows->front().m_Value) == What.m_Id;
+         writeIdOf(Rows->front().m_Value) == Commit.m_Id;
 }
 
-std::error_code TableSession::commit(const Transaction &What,
+std::error_code TableSession::commit(const Transaction &Commit,
                                      const RowKey &Marker) {
   const Clock::time_point End = Clock::now() + m_Limit;
   bool MayHaveApplied = false;
   do {
-    switch (commitOnce(What).m_Status) {
+    switch (commitOnce(Commit).m_Status) {
     case TableStatus::Ok:
       return {};
     case TableStatus::Conflict:
-      // An earlier try of ours may be what the conditions ran into.
-      if (MayHaveApplied && wroteMarker(What, Marker))
+      // The conflict may be with our own earlier attempt, if that was applied.
+      if (MayHaveApplied && hasWriteId(Commit, Marker))
         return {};
       return CliError::Conflict;
     case TableStatus::Ambiguous:
@@ -88,7 +88,7 @@
     case TableStatus::Unavailable:
       break;
     }
-    std::this_thread::sleep_for(RepeatDelay);
+    std::this_thread::sleep_for(RetryDelay);
   } while (Clock::now() < End);
   return MayHaveApplied ? CliError::OutcomeUnknown : CliError::Unreachable;
 }
--- a/src/coordination/config_tracker.cpp
+++ b/src/coordination/config_tracker.cpp
@@ -1,4 +1,4 @@
-// The newest configuration, never an older one.
+// Applies configuration documents and deltas, never an older version.
 #include "balsamwheel/detail/coordination/config_tracker.h"
 
 #include "balsamwheel/detail/core/safety_rules.h"
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// More missing versions than this are fetched as one document.
-constexpr std::uint64_t MostDeltasRead = 16;
+/// With more missing versions than this, the complete document is read instead
+/// of deltas.
+constexpr std::uint64_t MaxDeltasToFetch = 16;
 
 std::optional<std::uint64_t> deltaVersion(const RowKey &Key) {
   const std::string &Text = Key.value();
@@ -34,7 +35,7 @@
 bool ConfigTracker::merge(const Row &Stored, RowVersion Head) {
   if (Stored.m_Version.value() == 0)
     return false;
-  if (Stored.m_Key == ConfigHeadRow)
+  if (Stored.m_Key == ConfigHeadRowKey)
     return mergeDocument(Stored, Head);
   return mergeDelta(Stored, Head);
 }
@@ -75,7 +76,7 @@
     const nlohmann::json Value = {{"version", version().value()},
                                   {"write_id", 0},
                                   {"document", toDocument(*m_Config)}};
-    Result.push_back({ConfigHeadRow, RowVersion(1), Value.dump()});
+    Result.push_back({ConfigHeadRowKey, RowVersion(1), Value.dump()});
     return Result;
   }
   for (const auto &[Version, Delta] : m_Deltas)
@@ -88,11 +89,11 @@
   const std::uint64_t Known = version().value();
   if (Wanted.value() <= Known)
     return {};
-  if (Known == 0 || Wanted.value() - Known > MostDeltasRead)
-    return {ConfigHeadRow};
+  if (Known == 0 || Wanted.value() - Known > MaxDeltasToFetch)
+    return {ConfigHeadRowKey};
   std::vector<RowKey> Result;
   for (std::uint64_t Next = Known + 1; Next <= Wanted.value(); ++Next)
-    Result.push_back(configDeltaRow(ConfigVersion(Next)));
+    Result.push_back(configDeltaRowKey(ConfigVersion(Next)));
   return Result;
 }
 
--- a/src/coordination/document.cpp
+++ b/src/coordination/document.cpp
@@ -1,4 +1,5 @@
-// The stored form of the configuration and the deltas between versions.
+// The stored format of the configuration and of the deltas between its
+// versions.
 #include "balsamwheel/detail/manifest/document.h"
 
 #include <array>
@@ -102,7 +103,7 @@
   return Result;
 }
 
-std::optional<Json> parse(const std::string &Text) {
+std::optional<Json> parseJson(const std::string &Text) {
   Json Result = Json::parse(Text, nullptr, /*allow_exceptions=*/false);
   if (Result.is_discarded())
     return std::nullopt;
@@ -135,7 +136,7 @@
   }
 }
 
-RowKey configDeltaRow(ConfigVersion Version) {
+RowKey configDeltaRowKey(ConfigVersion Version) {
   return RowKey(ConfigDeltaPrefix + std::to_string(Version.value()));
 }
 
@@ -150,33 +151,33 @@
 
   Transaction Result;
   Result.m_Id = Id;
-  Result.m_Conditions.push_back({ConfigHeadRow, Current.m_Version});
-  Result.m_Writes.push_back({ConfigHeadRow, Head.dump()});
-  Result.m_Writes.push_back({configDeltaRow(Next.m_Version), Delta.dump()});
+  Result.m_Conditions.push_back({ConfigHeadRowKey, Current.m_Version});
+  Result.m_Writes.push_back({ConfigHeadRowKey, Head.dump()});
+  Result.m_Writes.push_back({configDeltaRowKey(Next.m_Version), Delta.dump()});
   if (Version > KeptConfigDeltas)
     Result.m_Writes.push_back(
-        {configDeltaRow(ConfigVersion(Version - KeptConfigDeltas)),
+        {configDeltaRowKey(ConfigVersion(Version - KeptConfigDeltas)),
          std::nullopt});
   return Result;
 }
 
-std::optional<Config> applyDelta(const Config &Base, const std::string &Patch) {
-  const std::optional<Json> Delta = parse(Patch);
-  if (!Delta)
+std::optional<Config> applyDelta(const Config &Base, const std::string &Delta) {
+  const std::optional<Json> Parsed = parseJson(Delta);
+  if (!Parsed)
     return std::nullopt;
   try {
-    if (Delta->at("version") != Base.m_Version.value() + 1)
+    if (Parsed->at("version") != Base.m_Version.value() + 1)
       return std::nullopt;
-    return fromDocument(toDocument(Base).patch(Delta->at("patch")));
+    return fromDocument(toDocument(Base).patch(Parsed->at("patch")));
   } catch (const Json::exception &) {
     return std::nullopt;
   }
 }
 
-std::optional<Config> configFromRow(const Row &HeadRow) {
-  if (HeadRow.m_Version.value() == 0)
+std::optional<Config> configFromRow(const Row &Stored) {
+  if (Stored.m_Version.value() == 0)
     return std::nullopt;
-  const std::optional<Json> Value = parse(HeadRow.m_Value);
+  const std::optional<Json> Value = parseJson(Stored.m_Value);
   if (!Value || !Value->is_object() || !Value->contains("document"))
     return std::nullopt;
   return fromDocument(Value->at("document"));
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -1,4 +1,4 @@
-// The events that reach a daemon's core thread.
+// The event queue of a daemon's core thread.
 #pragma once
 
 #include "balsamwheel/detail/node/node.h"
@@ -15,21 +15,21 @@
 
 namespace balsamwheel::daemon {
 
-struct CallerArrived {
+struct CallerRequestReceived {
   IncomingRequest m_Request;
 };
 
-struct CallerGone {
+struct CallerDisconnected {
   RequestHandle m_Request;
 };
 
-struct ControlArrived {
-  PeerAddress m_From;
+struct ControlReceived {
+  PeerAddress m_Sender;
   ControlMessage m_Message;
 };
 
-struct RequestArrived {
-  PeerAddress m_From;
+struct PeerRequestReceived {
+  PeerAddress m_Sender;
   RequestMessage m_Message;
 };
 
@@ -42,7 +42,7 @@
   TableReply m_Reply;
 };
 
-struct OrderAnswering {
+struct OrderHeadReceived {
   OrderId m_Order;
   HttpAnswer m_Head;
 };
@@ -58,53 +58,57 @@
 
 struct TargetLeft {};
 
-/// Hand everything over.
-struct ShutdownAsked {
-  /// End the process afterwards.
+/// Drain: hand over all shards and finish open requests.
+struct ShutdownRequested {
+  /// Whether the process ends afterwards.
   bool m_Exit = true;
 };
 
-/// Runs a function on the core thread, for status pages.
+/// Runs a function on the core thread, for status queries.
 struct Inspect {
-  std::function<void(const Node &Subject, TimePoint Now)> m_Run;
+  std::function<void(const Node &Subject, TimePoint Now)> m_Visit;
 };
 
 using Event =
-    std::variant<std::monostate, CallerArrived, CallerGone, ControlArrived,
-                 RequestArrived, PeerLost, TableReplied, OrderAnswering,
-                 OrderEnded, TargetReady, TargetLeft, ShutdownAsked, Inspect>;
+    std::variant<std::monostate, CallerRequestReceived, CallerDisconnected,
+                 ControlReceived, PeerRequestReceived, PeerLost, TableReplied,
+                 OrderHeadReceived, OrderEnded, TargetReady, TargetLeft,
+                 ShutdownRequested, Inspect>;
 
-/// The bounded ring in front of the core thread. Requests and messages from
-/// peers are dropped when it is full; replies wait for room.
+/// Bounded event queue of the core thread. When it is full, requests and
+/// messages from peers are dropped (tryPost()), and replies wait (post()).
 class Inbox {
 public:
   explicit Inbox(std::size_t Capacity = DefaultCapacity)
       : m_Mailbox(Capacity, m_Waker) {}
 
-  /// False when full.
+  /// \returns false if the queue is full.
   bool tryPost(Event &Value) { return m_Mailbox.tryPush(Value); }
-  /// Waits for room, unless nobody takes events any more. Not for the core
-  /// thread.
+  /// Blocks while the queue is full. Drops the event after close(). Must not be
+  /// called on the core thread.
   void post(Event Value) {
     while (!m_Closed && !m_Mailbox.tryPush(Value))
-      std::this_thread::sleep_for(FullDelay);
+      std::this_thread::sleep_for(FullRetryInterval);
   }
-  /// The core thread takes nothing more.
+  /// Call when the core thread takes no more events, so that post() can't
+  /// block.
   void close() { m_Closed = true; }
 
   bool tryTake(Event &Value) { return m_Mailbox.tryPop(Value); }
-  /// Sleeps until something is posted or \p Until.
+  /// Sleeps until an event is posted or \p Until is reached.
   void sleepUntil(TimePoint Until) {
     if (!m_Mailbox.prepareToSleep())
       return;
     m_Waker.sleepUntil(Until);
-    m_Mailbox.awake();
+    m_Mailbox.finishSleep();
   }
   std::size_t size() const { return m_Mailbox.size(); }
 
 private:
+  /// Number of events.
   static constexpr std::size_t DefaultCapacity = 8192;
-  static constexpr std::chrono::microseconds FullDelay{100};
+  /// Time between attempts of post() while the queue is full.
+  static constexpr std::chrono::microseconds FullRetryInterval{100};
 
   runtime::EventWaker m_Waker;
   runtime::Mailbox<Event, runtime::EventWaker> m_Mailbox;
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -1,4 +1,4 @@
-// Names, labels and buckets of the metrics.
+// Names, help texts, labels and buckets of the metrics.
 #include "daemon/metrics.h"
 
 #include <prometheus/text_serializer.h>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Seconds; fine where counters wait, coarse where downloads run.
+/// Upper bounds in seconds: fine for interactive requests, coarse for long
+/// downloads.
 const prometheus::Histogram::BucketBoundaries LatencyBuckets{
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
     0.2,    0.5,   1,     2,     5,    10,   30};
@@ -18,7 +19,7 @@
   return std::chrono::duration<double>(Value).count();
 }
 
-const char *nameOf(OrderEnd End) {
+const char *labelOf(OrderEnd End) {
   switch (End) {
   case OrderEnd::Answered:
     return "answered";
@@ -108,7 +109,7 @@
        {OrderEnd::Answered, OrderEnd::Shed, OrderEnd::NotSent, OrderEnd::Failed,
         OrderEnd::Aborted})
     m_Orders.at(static_cast<std::size_t>(End)) =
-        &m_OrderFamily.Add({{"end", nameOf(End)}});
+        &m_OrderFamily.Add({{"end", labelOf(End)}});
 }
 
 prometheus::Counter &Metrics::addCounter(const char *Name, const char *Help) {
@@ -137,29 +138,29 @@
   return Series;
 }
 
-void Metrics::requestDone(const ServiceName &Service, const ClassName &Class,
-                          Outcome Result, Reason Why, Duration Latency) {
+void Metrics::recordRequest(const ServiceName &Service, const ClassName &Class,
+                            Outcome Result, Reason Cause, Duration Latency) {
   ClassSeries &Series = seriesOf(Service, Class);
   Series.m_Latency->Observe(toSeconds(Latency));
-  prometheus::Counter *&Count = Series.m_Outcomes[{Result, Why}];
+  prometheus::Counter *&Count = Series.m_Outcomes[{Result, Cause}];
   if (Count == nullptr)
     Count = &m_OutcomeFamily.Add({{"service", Service.value()},
                                   {"class", Class.value()},
                                   {"outcome", std::string(toString(Result))},
-                                  {"reason", std::string(toString(Why))}});
+                                  {"reason", std::string(toString(Cause))}});
   Count->Increment();
 }
 
-void Metrics::requestRefused(Reason Why) {
-  m_RefusedFamily.Add({{"reason", std::string(toString(Why))}}).Increment();
+void Metrics::recordRefusal(Reason Cause) {
+  m_RefusedFamily.Add({{"reason", std::string(toString(Cause))}}).Increment();
 }
 
-void Metrics::orderEnded(OrderEnd End, Duration Latency) {
+void Metrics::recordOrderEnd(OrderEnd End, Duration Latency) {
   m_Orders.at(static_cast<std::size_t>(End))->Increment();
   m_OrderLatency.Observe(toSeconds(Latency));
 }
 
-void Metrics::targetLoad(double Load, bool Healthy) {
+void Metrics::setTargetLoad(double Load, bool Healthy) {
   m_TargetLoad.Set(Load);
   m_TargetHealthy.Set(Healthy ? 1 : 0);
 }
@@ -178,7 +179,7 @@
   m_LeaseExtended.Set(State.m_LeaseExtended ? 1 : 0);
   m_LeaseLeft.Set(State.m_LeaseHeld ? toSeconds(State.m_LeaseEnd - Now) : 0);
   m_ConfigVersion.Set(static_cast<double>(State.m_Config.value()));
-  m_MapVersion.Set(static_cast<double>(State.m_MapVersion));
+  m_MapVersion.Set(static_cast<double>(State.m_CompleteHeadVersion));
   m_Members.Set(static_cast<double>(State.m_Members));
   m_ShardsOwned.Set(static_cast<double>(State.m_ShardsOwned));
   m_ShardsPending.Set(static_cast<double>(State.m_ShardsPending));
--- a/src/daemon/peer_gate.cpp
+++ b/src/daemon/peer_receiver.cpp
@@ -1,5 +1,5 @@
-// Sorting of messages between daemons.
-#include "daemon/peer_gate.h"
+// Dispatch of messages from other daemons.
+#include "daemon/peer_receiver.h"
 
 #include <utility>
 
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// An unknown length travels as 0.
-std::optional<std::uint64_t> knownLength(std::uint64_t Length) {
+/// On the wire, length 0 means unknown.
+std::optional<std::uint64_t> lengthFromWire(std::uint64_t Length) {
   if (Length == 0)
     return std::nullopt;
   return Length;
@@ -24,10 +24,10 @@
          runtime::bodyHash(Answer.m_Body) == Answer.m_BodyHash;
 }
 
-PeerHandlers PeerGate::handlers() {
+PeerHandlers PeerReceiver::handlers() {
   return {.m_OnMessage =
-              [this](const PeerAddress &From, PeerMessage Message) {
-                onMessage(From, std::move(Message));
+              [this](const PeerAddress &Sender, PeerMessage Message) {
+                onMessage(Sender, std::move(Message));
               },
           .m_OnLost =
               [this](const PeerAddress &Peer) {
@@ -36,36 +36,40 @@
               }};
 }
 
-void PeerGate::onMessage(const PeerAddress &From, PeerMessage Message) {
+void PeerReceiver::onMessage(const PeerAddress &Sender, PeerMessage Message) {
   if (auto *Control = std::get_if<ControlMessage>(&Message))
-    postOrDrop(ControlArrived{From, std::move(*Control)});
+    postOrDrop(ControlReceived{Sender, std::move(*Control)});
   else if (auto *Request = std::get_if<RequestMessage>(&Message))
-    onRequest(From, std::move(*Request));
+    onRequest(Sender, std::move(*Request));
   else
-    m_Bodies.onMessage(From, std::get<BodyMessage>(std::move(Message)));
+    m_Bodies.onMessage(Sender, std::get<BodyMessage>(std::move(Message)));
 }
 
-void PeerGate::onRequest(const PeerAddress &From, RequestMessage Message) {
+void PeerReceiver::onRequest(const PeerAddress &Sender,
+                             RequestMessage Message) {
   if (auto *Forward = std::get_if<ForwardRequest>(&Message)) {
     HttpRequest &Http = Forward->m_Http;
     if (Http.m_BodyStream != 0)
-      Http.m_BodyStream = m_Bodies.adopt(From, Http.m_BodyStream, Http.m_Body,
-                                         knownLength(Http.m_BodyLength));
+      Http.m_BodyStream =
+          m_Bodies.openRemote(Sender, Http.m_BodyStream, Http.m_Body,
+                              lengthFromWire(Http.m_BodyLength));
   } else if (auto *Reply = std::get_if<ForwardReply>(&Message)) {
     if (!isIntact(*Reply)) {
       m_Shared.m_Metrics.damagedAnswers().Increment();
-      LOG4CPLUS_ERROR(logger(), "dropped a damaged answer of " << From.value());
+      LOG4CPLUS_ERROR(logger(),
+                      "dropped a damaged answer from " << Sender.value());
       return;
     }
     HttpAnswer &Http = Reply->m_Http;
     if (Http.m_BodyStream != 0)
-      Http.m_BodyStream = m_Bodies.adopt(From, Http.m_BodyStream, Http.m_Body,
-                                         knownLength(Http.m_BodyLength));
+      Http.m_BodyStream =
+          m_Bodies.openRemote(Sender, Http.m_BodyStream, Http.m_Body,
+                              lengthFromWire(Http.m_BodyLength));
   }
-  postOrDrop(RequestArrived{From, std::move(Message)});
+  postOrDrop(PeerRequestReceived{Sender, std::move(Message)});
 }
 
-void PeerGate::postOrDrop(Event Item) {
+void PeerReceiver::postOrDrop(Event Item) {
   if (!m_Shared.m_Inbox.tryPost(Item))
     m_Shared.m_Metrics.droppedEvents().Increment();
 }
--- a/src/keyspace/key_map.cpp
+++ b/src/keyspace/key_map.cpp
@@ -1,4 +1,4 @@
-// The map of key spans and its encoding as a table row.
+// Map of key spans and its encoding as a table row.
 #include "balsamwheel/detail/keyspace/key_map.h"
 
 #include <algorithm>
@@ -11,20 +11,21 @@
 using nlohmann::json;
 
 json encodeOwner(const KeyOwner &Owner) {
-  return json::array(
-      {Owner.m_Instance.value(), Owner.m_Target.m_Id, Owner.m_Target.m_BornMs});
+  return json::array({Owner.m_Instance.value(), Owner.m_Target.m_Id,
+                      Owner.m_Target.m_StartTimeMs});
 }
 
-KeyOwner decodeOwner(const json &From) {
-  return {.m_Instance = InstanceName(From.at(0).get<std::string>()),
-          .m_Target = {.m_Id = From.at(1).get<std::string>(),
-                       .m_BornMs = From.at(2).get<std::int64_t>()}};
+KeyOwner decodeOwner(const json &Encoded) {
+  return {.m_Instance = InstanceName(Encoded.at(0).get<std::string>()),
+          .m_Target = {.m_Id = Encoded.at(1).get<std::string>(),
+                       .m_StartTimeMs = Encoded.at(2).get<std::int64_t>()}};
 }
 
-bool alike(const KeySpan &Left, const KeySpan &Right) {
+bool sameExceptKeys(const KeySpan &Left, const KeySpan &Right) {
   return Left.m_State == Right.m_State && Left.m_Owner == Right.m_Owner &&
-         Left.m_Heir == Right.m_Heir && Left.m_Fence == Right.m_Fence &&
-         Left.m_Handover == Right.m_Handover;
+         Left.m_NextOwner == Right.m_NextOwner &&
+         Left.m_Fence == Right.m_Fence &&
+         Left.m_HandoverToken == Right.m_HandoverToken;
 }
 
 bool coversAllKeys(const std::vector<KeySpan> &Spans) {
@@ -76,7 +77,7 @@
 void KeyMap::normalize() {
   std::vector<KeySpan> Result;
   for (const KeySpan &Span : m_Spans) {
-    if (!Result.empty() && alike(Result.back(), Span))
+    if (!Result.empty() && sameExceptKeys(Result.back(), Span))
       Result.back().m_Last = Span.m_Last;
     else
       Result.push_back(Span);
@@ -88,18 +89,18 @@
   json Spans = json::array();
   for (const KeySpan &Span : m_Spans)
     Spans.push_back({Span.m_First, Span.m_Last, static_cast<int>(Span.m_State),
-                     encodeOwner(Span.m_Owner), encodeOwner(Span.m_Heir),
-                     Span.m_Fence.value(), Span.m_Handover});
+                     encodeOwner(Span.m_Owner), encodeOwner(Span.m_NextOwner),
+                     Span.m_Fence.value(), Span.m_HandoverToken});
   return json{{"last_fence", m_LastFence}, {"spans", std::move(Spans)}}.dump();
 }
 
 std::optional<KeyMap> KeyMap::fromText(const std::string &Text) {
   try {
-    const json From = json::parse(Text);
+    const json Encoded = json::parse(Text);
     KeyMap Map;
-    Map.m_LastFence = From.at("last_fence").get<std::uint64_t>();
+    Map.m_LastFence = Encoded.at("last_fence").get<std::uint64_t>();
     Map.m_Spans.clear();
-    for (const json &Each : From.at("spans")) {
+    for (const json &Each : Encoded.at("spans")) {
       const int State = Each.at(2).get<int>();
       if (State < 0 || State > static_cast<int>(SpanState::Revoked))
         return std::nullopt;
@@ -107,9 +108,9 @@
                              .m_Last = Each.at(1).get<KeyIndex>(),
                              .m_State = static_cast<SpanState>(State),
                              .m_Owner = decodeOwner(Each.at(3)),
-                             .m_Heir = decodeOwner(Each.at(4)),
+                             .m_NextOwner = decodeOwner(Each.at(4)),
                              .m_Fence = Epoch(Each.at(5).get<std::uint64_t>()),
-                             .m_Handover = Each.at(6).get<std::string>()});
+                             .m_HandoverToken = Each.at(6).get<std::string>()});
     }
     if (!coversAllKeys(Map.m_Spans))
       return std::nullopt;
--- a/src/manifest/reader.cpp
+++ b/src/manifest/reader.cpp
@@ -1,4 +1,4 @@
-// Reads a manifest and checks it whole.
+// Reads and validates manifests.
 #include "balsamwheel/detail/manifest/reader.h"
 
 #include "balsamwheel/detail/manifest/yaml_fields.h"
@@ -17,10 +17,11 @@
 constexpr std::uint64_t MaxConnections = 100'000;
 constexpr std::uint64_t MaxQueue = 1'000'000;
 constexpr std::uint64_t MaxBodyBytes = 1UL << 40U;
-constexpr Duration LeastDeadline = std::chrono::milliseconds(1);
-constexpr Duration MostDeadline = std::chrono::minutes(10);
-/// An order for a key must end within the lease of its owner.
-constexpr Duration MostKeyedDeadline = std::chrono::milliseconds(1500);
+constexpr Duration MinDeadline = std::chrono::milliseconds(1);
+constexpr Duration MaxDeadline = std::chrono::minutes(10);
+/// Limit for services divided by key: an order must end within the owner's
+/// lease.
+constexpr Duration MaxKeyedDeadline = std::chrono::milliseconds(1500);
 constexpr std::size_t MaxNameLength = 64;
 
 const std::vector<std::string> UrgencyNames{"urgent", "interactive", "bulk"};
@@ -33,12 +34,12 @@
          Text.find_first_not_of(Allowed) == std::string::npos;
 }
 
-/// Reads a name and checks its characters.
+/// Reads a required name and checks its characters and length.
 std::string readName(YamlMap &Map, const std::string &Key) {
   std::string Name = Map.requiredText(Key);
   if (!Name.empty() && !isName(Name))
-    Map.problem(Key, "may hold letters, digits, '-', '_' and '.' only, and at "
-                     "most 64 of them");
+    Map.problem(Key, "must consist of 1 to 64 letters, digits, '-', '_' "
+                     "and '.'");
   return Name;
 }
 
@@ -74,9 +75,9 @@
   if (const auto Level = Map.choice("urgency", UrgencyNames))
     Result.m_Urgency = static_cast<Urgency>(*Level);
   Result.m_Idempotent = Map.flag("idempotent").value_or(true);
-  const Duration Most = Keyed ? MostKeyedDeadline : MostDeadline;
+  const Duration Max = Keyed ? MaxKeyedDeadline : MaxDeadline;
   Result.m_Deadline =
-      Map.duration("deadline", LeastDeadline, Most).value_or(Result.m_Deadline);
+      Map.duration("deadline", MinDeadline, Max).value_or(Result.m_Deadline);
   Result.m_Match = Map.texts("match");
   for (const std::string &Pattern : Result.m_Match) {
     checkPattern(Map, Pattern);
@@ -87,13 +88,13 @@
   return Result;
 }
 
-void readDivision(YamlMap &Map, Service &Result) {
+void readSharding(YamlMap &Map, Service &Result) {
   Result.m_DividedByKey = Map.flag("divided_by_key").value_or(false);
   const auto Shards = Map.number("shards", {1, MaxShards});
   if (Result.m_DividedByKey && !Map.has("shards"))
-    Map.problem("shards", "is missing; a service divided by key needs it");
+    Map.problem("shards", "is required for a service divided by key");
   if (!Result.m_DividedByKey && Map.has("shards"))
-    Map.problem("shards", "needs divided_by_key: true");
+    Map.problem("shards", "requires divided_by_key: true");
   Result.m_Shards = static_cast<std::uint32_t>(Shards.value_or(0));
 }
 
@@ -101,9 +102,9 @@
   auto Limits = Map.map("limits");
   if (!Limits)
     return;
-  const auto Read = [&](const char *Key, std::uint64_t Most, auto &Value) {
+  const auto Read = [&](const char *Key, std::uint64_t Max, auto &Value) {
     using Number = std::remove_reference_t<decltype(Value)>;
-    if (const auto Given = Limits->number(Key, {1, Most}))
+    if (const auto Given = Limits->number(Key, {1, Max}))
       Value = static_cast<Number>(*Given);
   };
   Read("slots", MaxSlots, Result.m_Slots);
@@ -119,7 +120,7 @@
   Service Result;
   Result.m_Name = ServiceName(readName(Map, "name"));
   checkUnique(Map, Result.m_Name.value(), Seen);
-  readDivision(Map, Result);
+  readSharding(Map, Result);
   Result.m_ChecksFences = Map.choice("fences", FenceNames).value_or(0) == 1;
   readLimits(Map, Result);
   std::set<std::string> Classes;
--- a/src/router/entrance.h
+++ b/src/router/entrance.h
@@ -1,5 +1,5 @@
-// Where callers' requests come in: chooses the route and the instance, repeats
-// what may be repeated, and answers once.
+// Receives the requests of callers: chooses route and instance, retries where
+// that is allowed, and sends exactly one answer.
 #pragma once
 
 #include "event_log.h"
@@ -9,7 +9,7 @@
 #include "target_agent.h"
 
 #include "balsamwheel/detail/load/retry_budget.h"
-#include "balsamwheel/detail/load/target_board.h"
+#include "balsamwheel/detail/load/target_selector.h"
 #include "balsamwheel/detail/routing/route_table.h"
 
 #include "net/http_server.h"
@@ -20,94 +20,111 @@
 
 namespace balsamwheel {
 
-/// What the entrance knows of the rest; kept by the router.
-struct EntranceView {
+/// Functions by which the entrance looks up state that the router keeps.
+struct EntranceCallbacks {
   /// Null before the first configuration.
   std::function<std::shared_ptr<const RouteTable>()> m_Routes;
   /// Null when the service's key map isn't known.
   std::function<const KeyMap *(const ServiceName &)> m_KeyMap;
-  /// Instances whose targets may serve the service.
-  std::function<std::vector<TargetBoard::Candidate>(const ServiceName &)>
+  /// Instances whose targets can serve the service.
+  std::function<std::vector<TargetSelector::Candidate>(const ServiceName &)>
       m_Candidates;
 };
 
 struct EntranceOptions {
-  /// Passes to another gate after one has refused, for one caller attempt.
-  int m_MaxOffers = 3;
-  /// Pause before a key's owner is looked up again.
-  Duration m_OwnerRetry = std::chrono::milliseconds(60);
-  /// Owner lookups for one caller attempt.
+  /// A refused request is forwarded to another instance at once only while it
+  /// has been forwarded fewer times than this, retries included.
+  int m_MaxForwards = 3;
+  /// Delay before the owner of a key is looked up again.
+  Duration m_OwnerRetryDelay = std::chrono::milliseconds(60);
+  /// Maximum number of repeated owner lookups for one request.
   int m_MaxOwnerLookups = 4;
-  /// Part of the expected completion that must be left for a repeat: the mean
-  /// over all routes is well above what a quick one takes.
-  double m_RepeatCompletionPart = 0.6;
-  /// Told to callers when nothing better is known.
+  /// Time that must be left before the deadline for a retry, as a fraction of
+  /// the expected completion time. Below 1, because that is a mean over all
+  /// routes, well above the time of a fast one.
+  double m_MinRetryTimeRatio = 0.6;
+  /// Retry-After for callers when no better estimate is known.
   Duration m_DefaultRetryAfter = std::chrono::milliseconds(300);
-  /// Retry-After is spread by up to this part, so that callers return apart.
+  /// Retry-After is extended by a random amount of up to this fraction of it,
+  /// so that callers don't return all at once.
   double m_RetryAfterSpread = 0.3;
   RetryBudgetOptions m_Retries;
 };
 
-/// Invariants: each request read is answered exactly once or its caller has
-/// left; a request that isn't idempotent is passed on again only after proof
-/// that it hasn't run; "not run" is answered only with such proof.
+/// Invariants: each request that was read is answered exactly once unless its
+/// caller has disconnected; a non-idempotent request is forwarded again only
+/// with proof that it hasn't run; "not run" is answered only with such proof.
 class Entrance {
 public:
   Entrance(EventLoop &Loop, EventLog &Log, const RouterSettings &Settings,
            const ExchangeFormat &Format, TargetAgent &Agent, PeerMesh &Mesh,
-           TargetBoard &Board, RouterMetrics &Metrics, EntranceOptions Options,
-           EntranceView View);
+           TargetSelector &Selector, RouterMetrics &Metrics,
+           EntranceOptions Options, EntranceCallbacks Callbacks);
 
+  /// Takes a request from a caller; it is answered through \p Exchange.
   void accept(std::shared_ptr<HttpExchange> Exchange);
-  /// From now on new requests are refused: the process is about to end.
+  /// New requests are refused from now on: the process is about to exit.
   void refuseNew() { m_RefuseNew = true; }
+  /// Requests that haven't been answered yet.
   std::size_t active() const { return m_Active.size(); }
 
 private:
   using Id = std::uint64_t;
-  struct Active {
+  struct ActiveRequest {
     std::shared_ptr<HttpExchange> m_Exchange;
     std::shared_ptr<const RouteTable> m_Table;
     const Route *m_Route = nullptr;
     ServiceName m_Service;
-    RequestMarks m_Marks;
-    /// As it is sent to targets, but for its own marks.
+    RequestMetadata m_Metadata;
+    /// The request as sent to targets, without the headers that name the target
+    /// and its deadline.
     HttpRequest m_Request;
-    /// Made by the target beside this daemon, for a request that it runs.
+    /// Sent by the target beside this daemon while it runs another request.
     bool m_Nested = false;
-    TimePoint m_Arrived;
+    TimePoint m_ReceivedAt;
     TimePoint m_Objective;
     TimePoint m_Deadline;
-    EventLoop::TimerId m_Timer;
-    EventLoop::TimerId m_Pause;
-    /// Where it is now.
-    InstanceName m_At;
+    EventLoop::TimerId m_DeadlineTimer;
+    EventLoop::TimerId m_OwnerRetryTimer;
+    /// Instance that the request was last forwarded to.
+    InstanceName m_Destination;
+    /// Stream of the attempt at a peer; 0 when there is none.
     std::uint64_t m_Stream = 0;
     TargetAgent::JobId m_Job;
-    /// Targets that it may have reached.
-    std::uint32_t m_Arrivals = 0;
-    int m_Offers = 0;
+    /// Attempts that may have reached a target.
+    std::uint32_t m_TargetAttempts = 0;
+    int m_Forwards = 0;
     int m_OwnerLookups = 0;
-    std::set<InstanceName> m_Refused;
+    /// Instances that have refused or failed the request.
+    std::set<InstanceName> m_Excluded;
   };
 
-  /// Finds the route and the times; false when no route matches.
-  bool place(Active &Of);
+  /// Sets the route, the latency objective and the deadline.
+  /// \returns false when no route matches.
+  bool resolveRoute(ActiveRequest &Entry);
+  /// Chooses an instance and forwards the request to it; refuses the request or
+  /// schedules another owner lookup when there is none.
   void dispatch(Id Request);
-  std::optional<InstanceName> choose(const Active &Of);
-  /// Whether only the owner of its key may serve the request.
-  static bool isKeyed(const Active &Of);
-  std::optional<InstanceName> ownerOf(const Active &Of) const;
-  void passOn(Id Request, const InstanceName &To);
-  void resulted(Id Request, TargetJobResult Result);
-  void notRun(Id Request, const TargetJobResult &Result);
-  bool mayRepeat(Active &Of);
-  void lookUpOwnerAgain(Id Request);
+  std::optional<InstanceName> choose(const ActiveRequest &Entry);
+  /// Whether only the owner of its key can serve the request.
+  static bool isKeyed(const ActiveRequest &Entry);
+  std::optional<InstanceName> ownerOf(const ActiveRequest &Entry) const;
+  void forward(Id Request, const InstanceName &Destination);
+  void attemptEnded(Id Request, TargetJobResult Result);
+  void handleNotRun(Id Request, const TargetJobResult &Result);
+  /// Excludes the last instance and checks the limits on retries.
+  /// \returns whether a retry is allowed; it is then charged to the retry
+  /// budget.
+  bool acquireRetry(ActiveRequest &Entry);
+  void retryOwnerLookup(Id Request);
   void timedOut(Id Request);
   void callerLeft(Id Request);
-  void withdraw(const Active &Of);
+  void cancelAttempt(const ActiveRequest &Entry);
+  /// Answers that the request hasn't run.
   void refuse(Id Request, Reason Why, Duration RetryAfter);
+  /// Answers with an error that leaves open whether the request has run.
   void fail(Id Request, unsigned Status, Reason Why);
+  /// Ends the request: logs and counts it, and answers unless the status is 0.
   void answer(Id Request, HttpAnswer Answer, std::string_view Outcome,
               Reason Why);
 
@@ -117,18 +134,19 @@
   const ExchangeFormat &m_Format;
   TargetAgent &m_Agent;
   PeerMesh &m_Mesh;
-  TargetBoard &m_Board;
+  TargetSelector &m_Selector;
   RouterMetrics &m_Metrics;
   EntranceOptions m_Options;
-  EntranceView m_View;
+  EntranceCallbacks m_Callbacks;
   RetryBudget m_Retries;
   pcg32 m_Random;
   bool m_RefuseNew = false;
   Id m_LastId = 0;
-  std::map<Id, Active> m_Active;
-  /// Longest deadline that callers of a route have given: the time that a
-  /// first attempt has. A shorter one tells how long the caller has waited.
-  std::map<std::string, Duration> m_FullDeadlines;
+  std::map<Id, ActiveRequest> m_Active;
+  /// Longest time until the deadline that callers have given on each route,
+  /// taken as that of a first attempt. If a request has less time left, the
+  /// difference is the time for which its caller has already waited.
+  std::map<std::string, Duration> m_LongestTimeLeft;
 };
 
 } // namespace balsamwheel
--- a/src/router/event_log.cpp
+++ b/src/router/event_log.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-/// Lines that may be written at once after a quiet spell, in seconds of rate.
+/// Size of a token bucket, in seconds of its rate: the burst that may be
+/// written after a time without lines.
 constexpr double BurstSeconds = 2;
 
-/// How often dropped lines are told.
+/// Minimum time between two reports of the number of dropped lines.
 constexpr Duration DropReportInterval = std::chrono::seconds(1);
 
 std::string quoted(std::string_view Text) {
@@ -43,11 +44,12 @@
   return add(std::string(Field) + "_us", std::int64_t{Value.count()});
 }
 
-std::string LogLine::finish(TimePoint Now) const {
-  timespec Wall{};
-  clock_gettime(CLOCK_REALTIME, &Wall);
+std::string LogLine::toJsonLine(TimePoint Now) const {
+  timespec WallTime{};
+  clock_gettime(CLOCK_REALTIME, &WallTime);
   std::string Text = "{\"wall_ms\":";
-  Text.append(std::to_string(Wall.tv_sec * 1000 + Wall.tv_nsec / 1000000))
+  Text.append(
+          std::to_string(WallTime.tv_sec * 1000 + WallTime.tv_nsec / 1000000))
       .append(",\"boot_us\":")
       .append(std::to_string(Now.time_since_epoch().count()))
       .append(",\"event\":\"")
@@ -63,15 +65,16 @@
   const int Flags = fcntl(m_Options.m_Output, F_GETFL);
   if (Flags >= 0)
     fcntl(m_Options.m_Output, F_SETFL, Flags | O_NONBLOCK);
-  for (LogClass Each : {LogClass::Belief, LogClass::Failure, LogClass::Success})
-    m_Budgets[Each] = {.m_Tokens = rate(Each) * BurstSeconds,
-                       .m_At = Loop.now()};
+  for (LogClass Each :
+       {LogClass::StateChange, LogClass::Failure, LogClass::Success})
+    m_Buckets[Each] = {.m_Tokens = rate(Each) * BurstSeconds,
+                       .m_RefilledAt = Loop.now()};
 }
 
 double EventLog::rate(LogClass Class) const {
   switch (Class) {
-  case LogClass::Belief:
-    return m_Options.m_BeliefsPerSecond;
+  case LogClass::StateChange:
+    return m_Options.m_StateChangesPerSecond;
   case LogClass::Failure:
     return m_Options.m_FailuresPerSecond;
   case LogClass::Success:
@@ -81,34 +84,34 @@
 }
 
 bool EventLog::admit(LogClass Class) {
-  Budget &Of = m_Budgets[Class];
-  const double Passed =
-      static_cast<double>((m_Loop.now() - Of.m_At).count()) / 1e6;
-  Of.m_Tokens =
-      std::min(rate(Class) * BurstSeconds, Of.m_Tokens + rate(Class) * Passed);
-  Of.m_At = m_Loop.now();
-  if (Of.m_Tokens < 1 || m_Buffer.size() >= m_Options.m_MaxBuffered) {
-    ++Of.m_Dropped;
+  TokenBucket &Bucket = m_Buckets[Class];
+  const double Elapsed =
+      static_cast<double>((m_Loop.now() - Bucket.m_RefilledAt).count()) / 1e6;
+  Bucket.m_Tokens = std::min(rate(Class) * BurstSeconds,
+                             Bucket.m_Tokens + rate(Class) * Elapsed);
+  Bucket.m_RefilledAt = m_Loop.now();
+  if (Bucket.m_Tokens < 1 || m_Buffer.size() >= m_Options.m_MaxBuffered) {
+    ++Bucket.m_Dropped;
     return false;
   }
-  Of.m_Tokens -= 1;
+  Bucket.m_Tokens -= 1;
   return true;
 }
 
 void EventLog::write(LogClass Class, const LogLine &Line) {
   if (m_Options.m_Output < 0 || !admit(Class))
     return;
-  Budget &Of = m_Budgets[Class];
-  if (Of.m_Dropped > 0 &&
-      m_Loop.now() - Of.m_DropsToldAt > DropReportInterval) {
-    Of.m_DropsToldAt = m_Loop.now();
+  TokenBucket &Bucket = m_Buckets[Class];
+  if (Bucket.m_Dropped > 0 &&
+      m_Loop.now() - Bucket.m_DropsReportedAt > DropReportInterval) {
+    Bucket.m_DropsReportedAt = m_Loop.now();
     m_Buffer += LogLine("log_lines_dropped")
                     .add("class", std::int64_t{static_cast<int>(Class)})
-                    .add("count", static_cast<std::int64_t>(Of.m_Dropped))
-                    .finish(m_Loop.now());
-    Of.m_Dropped = 0;
+                    .add("count", static_cast<std::int64_t>(Bucket.m_Dropped))
+                    .toJsonLine(m_Loop.now());
+    Bucket.m_Dropped = 0;
   }
-  m_Buffer += Line.finish(m_Loop.now());
+  m_Buffer += Line.toJsonLine(m_Loop.now());
 }
 
 void EventLog::flush() {
@@ -116,7 +119,7 @@
     const ssize_t Written =
         ::write(m_Options.m_Output, m_Buffer.data(), m_Buffer.size());
     if (Written <= 0)
-      return; // Nobody reads just now; the buffer is bounded.
+      return; // The output would block; the buffer is bounded.
     m_Buffer.erase(0, static_cast<std::size_t>(Written));
   }
 }
--- a/src/router/key_coordinator.h
+++ b/src/router/key_coordinator.h
@@ -1,11 +1,12 @@
-// Takes part in deciding who owns the keys of the local target's service:
-// keeps the authority to grant, reports what was released, and plans when this
-// daemon is the one to do so.
+// Takes part in assigning the keys of the local target's service to owners:
+// maintains the authority to grant keys, reports released keys, and plans the
+// assignment while this daemon is the planner.
 //
-// Safety rests on conditional commits of one row: whoever plans, a change
-// counts only against the version it was made from. A daemon grants only while
-// a commit or check that it began less than the authority time ago has found
-// the row unchanged, so a revocation binds it after that time.
+// Safety rests on conditional commits of one row: whichever daemon plans, a
+// change takes effect only if the row still has the version that the change was
+// made from. A daemon grants keys only while a commit or check that it started
+// less than the authority duration ago has found the row unchanged, so a
+// revocation is binding for it once that time has passed.
 #pragma once
 
 #include "event_log.h"
@@ -17,30 +18,35 @@
 
 namespace balsamwheel {
 
-/// Row of the key map of a service in the daemons' own table.
+/// Key of the row that holds the key map of a service, in the daemons' own
+/// table.
 RowKey keyMapRow(const ServiceName &Service);
 
 struct KeyCoordinatorOptions {
-  /// From the start of a check of the map to the end of the right to grant.
-  Duration m_Authority = std::chrono::seconds(3);
-  /// Pause between two checks.
+  /// How long after the start of a successful check of the map keys may be
+  /// granted.
+  Duration m_AuthorityDuration = std::chrono::seconds(3);
+  /// Interval between two checks of the map.
   Duration m_CheckInterval = std::chrono::milliseconds(1500);
-  Duration m_CheckRetry = std::chrono::milliseconds(300);
+  /// Delay before a failed commit or check is repeated.
+  Duration m_CheckRetryDelay = std::chrono::milliseconds(300);
+  /// Interval at which update() is called.
   Duration m_PlanInterval = std::chrono::milliseconds(500);
-  /// From the start of the daemon to its first plan, so that the others are
-  /// known.
-  Duration m_Settle = std::chrono::seconds(2);
+  /// Time after the creation of the coordinator in which it doesn't plan, so
+  /// that the daemon learns of the other targets first.
+  Duration m_StartupDelay = std::chrono::seconds(2);
   KeyPlannerOptions m_Planner;
 };
 
-/// What the coordinator asks the router.
-struct KeyCoordinatorView {
-  /// All targets of the service that are known.
+/// Functions of the router that the coordinator calls.
+struct KeyCoordinatorCallbacks {
+  /// All known targets of the service.
   std::function<std::vector<KeyCandidate>()> m_Candidates;
+  /// Requests per second for each slice of keys, over all targets.
   std::function<SliceLoads()> m_Loads;
-  /// Whether this daemon is the one to plan.
+  /// Whether this daemon is the planner.
   std::function<bool()> m_IsPlanner;
-  /// Rows learned from replies to commits.
+  /// Called for each row in a reply to a commit.
   std::function<void(const MirroredRow &)> m_OnRow;
 };
 
@@ -48,24 +54,31 @@
 public:
   KeyCoordinator(EventLoop &Loop, EventLog &Log, TableService &Table,
                  TargetAgent &Agent, ServiceName Service,
-                 KeyCoordinatorOptions Options, KeyCoordinatorView View);
+                 KeyCoordinatorOptions Options,
+                 KeyCoordinatorCallbacks Callbacks);
   ~KeyCoordinator();
 
-  /// The row has a new version; none: it doesn't exist.
+  /// Reports a new version of the map's row.
+  /// \param Map the new map; none when the row doesn't exist.
   void mapChanged(std::optional<KeyMap> Map, RowVersion Version);
-  /// The table has been read: if there is no row, one may be made.
-  void tableRead() { m_TableRead = true; }
-  /// Does what is due; called after heartbeats too.
-  void step();
-  /// Whether grants may be given at \p Now.
+  /// Reports that the table has been read: if the row doesn't exist, it may be
+  /// created.
+  void onTableRead() { m_TableRead = true; }
+  /// Commits or checks the map if that is due. Called periodically and after
+  /// each heartbeat.
+  void update();
+  /// Whether keys may be granted at \p Now.
   bool mayGrant(TimePoint Now) const { return m_Map && Now < m_AuthorityUntil; }
   const KeyMap *map() const { return m_Map ? &*m_Map : nullptr; }
   std::uint64_t commits() const { return m_Commits; }
 
 private:
+  /// The map with all changes that this daemon has to make.
   KeyMap desired() const;
+  /// Commits \p Value; none only checks that the row is unchanged.
   void commit(std::optional<std::string> Value);
-  void replied(const TableServiceReply &Reply, TimePoint Began, bool Wrote);
+  void onCommitReply(const TableServiceReply &Reply, TimePoint StartedAt,
+                     bool HadWrite);
   void tick();
 
   EventLoop &m_Loop;
@@ -74,7 +87,7 @@
   TargetAgent &m_Agent;
   ServiceName m_Service;
   KeyCoordinatorOptions m_Options;
-  KeyCoordinatorView m_View;
+  KeyCoordinatorCallbacks m_Callbacks;
   KeyPlanner m_Planner;
   TimePoint m_StartedAt;
   std::optional<KeyMap> m_Map;
--- a/src/router/router_peers.cpp
+++ b/src/router/router_peers.cpp
@@ -1,5 +1,4 @@
-// What a router tells the daemons of other instances, and what it does for
-// them.
+// Exchange between routers: load reports, table rows and forwarded requests.
 #include "router.h"
 
 #include "link/frame_headers.h"
@@ -8,15 +7,16 @@
 
 namespace {
 
-/// Bodies from this size on leave one after the other, so that small answers
-/// don't queue behind all of them.
-constexpr std::size_t LargeBody = 24576;
-/// How often loads of keys are told to the daemons of the same service.
-constexpr Duration RatesInterval = std::chrono::milliseconds(700);
-/// Requests a second of a slice of keys that are worth telling.
-constexpr float LeastRate = 0.1F;
+/// Answers with bodies of at least this size in bytes are sent one after the
+/// other, so that small answers don't queue behind all of them.
+constexpr std::size_t LargeBodyBytes = 24576;
+/// Interval at which the request rates of slices are sent to the daemons of the
+/// same service.
+constexpr Duration SliceRatesInterval = std::chrono::milliseconds(700);
+/// Slices with fewer requests per second aren't reported.
+constexpr float MinReportedRate = 0.1F;
 
-link_wire::TableRowT wireRow(const MirroredRow &Row) {
+link_wire::TableRowT rowToWire(const MirroredRow &Row) {
   link_wire::TableRowT Result;
   Result.table_name = Row.m_Table == TableName::Operators ? "operators" : "own";
   Result.key = Row.m_Key.value();
@@ -26,24 +26,24 @@
   return Result;
 }
 
-MirroredRow rowFromWire(const link_wire::TableRowT &From) {
-  MirroredRow Row{.m_Table = From.table_name == "operators"
+MirroredRow rowFromWire(const link_wire::TableRowT &Wire) {
+  MirroredRow Row{.m_Table = Wire.table_name == "operators"
                                  ? TableName::Operators
                                  : TableName::Own,
-                  .m_Key = RowKey(From.key),
-                  .m_Version = RowVersion(From.version)};
-  if (!From.removed)
-    Row.m_Value = From.value;
+                  .m_Key = RowKey(Wire.key),
+                  .m_Version = RowVersion(Wire.version)};
+  if (!Wire.removed)
+    Row.m_Value = Wire.value;
   return Row;
 }
 
-GateReport gateFrom(const link_wire::GateStateT &From) {
-  return {.m_Running = From.running,
-          .m_Waiting = From.waiting,
-          .m_Slots = From.slots,
-          .m_Service = Duration(From.service),
-          .m_RateLimit = From.rate_limit,
-          .m_LinkWait = Duration(From.link_wait)};
+GateReport gateFromWire(const link_wire::GateStateT &Wire) {
+  return {.m_Running = Wire.running,
+          .m_Waiting = Wire.waiting,
+          .m_Slots = Wire.slots,
+          .m_Service = Duration(Wire.service),
+          .m_RateLimit = Wire.rate_limit,
+          .m_LinkWait = Duration(Wire.link_wait)};
 }
 
 std::unique_ptr<link_wire::GateStateT> gateToWire(const GateReport &Report) {
@@ -59,14 +59,14 @@
 
 } // namespace
 
-void Router::passOn(const MirroredRow &Row) {
+void Router::publishRow(const MirroredRow &Row) {
   const MirroredRow *Known = m_Follower.mirror().find(Row.m_Table, Row.m_Key);
   if (Known && Known->m_Version >= Row.m_Version)
     return;
   m_Follower.apply(Row, "commit");
   LinkFrame Frame;
   Frame.kind = LinkFrameKind::Rows;
-  Frame.rows.push_back(std::make_unique<link_wire::TableRowT>(wireRow(Row)));
+  Frame.rows.push_back(std::make_unique<link_wire::TableRowT>(rowToWire(Row)));
   m_Mesh.broadcast(Frame, std::nullopt);
 }
 
@@ -76,18 +76,20 @@
   Report.gate = gateToWire(m_Agent.gateReport());
   if (const auto Owner = m_Agent.owner()) {
     Report.target_id = Owner->m_Target.m_Id;
-    Report.target_born = Owner->m_Target.m_BornMs;
+    Report.target_born = Owner->m_Target.m_StartTimeMs;
   }
   Report.condition = static_cast<std::uint8_t>(m_Agent.condition());
   Report.capacity = m_Agent.capacity();
   Report.has_rates = WithRates;
   Report.sees_table = m_Follower.isReachable(TableName::Operators);
   Report.operator_rows_seen =
-      m_Follower.mirror().seen(TableName::Operators).value();
-  Report.own_rows_seen = m_Follower.mirror().seen(TableName::Own).value();
+      m_Follower.mirror().highestVersion(TableName::Operators).value();
+  Report.own_rows_seen =
+      m_Follower.mirror().highestVersion(TableName::Own).value();
   if (m_Coordinator && WithRates)
-    for (std::size_t Slice = 0; Slice < KeySlices; ++Slice)
-      if (const float Rate = m_Agent.sliceRates()[Slice]; Rate > LeastRate) {
+    for (std::size_t Slice = 0; Slice < KeySliceCount; ++Slice)
+      if (const float Rate = m_Agent.sliceRates()[Slice];
+          Rate > MinReportedRate) {
         auto Each = std::make_unique<link_wire::SliceRateT>();
         Each->slice = static_cast<std::uint16_t>(Slice);
         Each->rate = Rate;
@@ -103,10 +105,11 @@
   m_Agent.decaySliceRates(Now - m_LastReport);
   m_LastReport = Now;
   const GateReport Gate = m_Agent.gateReport();
-  m_Board.report(m_Settings.m_Instance, Gate);
-  const bool WithRates = m_Coordinator && Now - m_LastRates >= RatesInterval;
+  m_Selector.report(m_Settings.m_Instance, Gate);
+  const bool WithRates =
+      m_Coordinator && Now - m_LastRatesReport >= SliceRatesInterval;
   if (WithRates)
-    m_LastRates = Now;
+    m_LastRatesReport = Now;
   m_Mesh.broadcast(makeReport(false),
                    WithRates ? std::optional(makeReport(true)) : std::nullopt);
   m_Metrics.gate(Gate.m_Running, Gate.m_Waiting);
@@ -115,38 +118,38 @@
       m_Loop.after(m_Mesh.reportInterval(), [this] { sendReports(); });
 }
 
-void Router::reported(const InstanceName &Peer, const LinkFrame &Report) {
+void Router::handleReport(const InstanceName &Peer, const LinkFrame &Report) {
   if (Report.gate)
-    m_Board.report(Peer, gateFrom(*Report.gate));
+    m_Selector.report(Peer, gateFromWire(*Report.gate));
   if (Report.kind != LinkFrameKind::Report)
     return;
   PeerTarget &Known = m_PeerTargets[Peer];
-  Known.m_Owner = {
-      .m_Instance = Peer,
-      .m_Target = {.m_Id = Report.target_id, .m_BornMs = Report.target_born}};
+  Known.m_Owner = {.m_Instance = Peer,
+                   .m_Target = {.m_Id = Report.target_id,
+                                .m_StartTimeMs = Report.target_born}};
   Known.m_Condition = static_cast<TargetCondition>(Report.condition);
   Known.m_Capacity = Report.capacity;
-  Known.m_SeesTable = Report.sees_table;
+  Known.m_ReachesTable = Report.sees_table;
   if (Report.has_rates)
     Known.m_Rates.fill(0);
   for (const auto &Each : Report.slice_rates)
-    if (Each->slice < KeySlices)
+    if (Each->slice < KeySliceCount)
       Known.m_Rates[Each->slice] = Each->rate;
   const TableMirror &Mirror = m_Follower.mirror();
-  const RowVersion OperatorsSeen = Mirror.seen(TableName::Operators);
-  const RowVersion OwnSeen = Mirror.seen(TableName::Own);
-  const auto Lacking = m_CatchUp.onReport(
+  const RowVersion OperatorsSeen = Mirror.highestVersion(TableName::Operators);
+  const RowVersion OwnSeen = Mirror.highestVersion(TableName::Own);
+  const auto Missing = m_RowCatchUp.onReport(
       {.m_Operators = RowVersion(Report.operator_rows_seen),
        .m_Own = RowVersion(Report.own_rows_seen)},
       {.m_Operators = OperatorsSeen, .m_Own = OwnSeen},
       m_Follower.isReachable(TableName::Operators), m_Loop.now());
-  if (!Lacking)
+  if (!Missing)
     return;
   LinkFrame Wanted;
   Wanted.kind = LinkFrameKind::RowsWanted;
-  Wanted.operator_rows_seen = Lacking->m_Operators.value();
-  Wanted.own_rows_seen = Lacking->m_Own.value();
-  m_Mesh.askForRows(Peer, Wanted);
+  Wanted.operator_rows_seen = Missing->m_Operators.value();
+  Wanted.own_rows_seen = Missing->m_Own.value();
+  m_Mesh.requestRows(Peer, Wanted);
 }
 
 LinkFrame Router::rowsFor(const LinkFrame &Wanted) const {
@@ -156,21 +159,21 @@
     for (const MirroredRow &Row :
          m_Follower.mirror().newerThan(Table, RowVersion(Since)))
       Reply.rows.push_back(
-          std::make_unique<link_wire::TableRowT>(wireRow(Row)));
+          std::make_unique<link_wire::TableRowT>(rowToWire(Row)));
   };
   Append(TableName::Operators, Wanted.operator_rows_seen);
   Append(TableName::Own, Wanted.own_rows_seen);
   return Reply;
 }
 
-void Router::takeRows(const LinkFrame &Rows) {
-  m_CatchUp.onRows();
+void Router::applyRows(const LinkFrame &Rows) {
+  m_RowCatchUp.onRows();
   for (const auto &Each : Rows.rows)
     m_Follower.apply(rowFromWire(*Each), "peer");
 }
 
-void Router::peerRequest(std::uint64_t Link, LinkFrame &Frame,
-                         std::string Body) {
+void Router::handlePeerRequest(std::uint64_t Link, LinkFrame &Frame,
+                               std::string Body) {
   TargetJob Job;
   Job.m_Request.m_Method = std::move(Frame.method);
   Job.m_Request.m_Target = std::move(Frame.target);
@@ -189,15 +192,15 @@
   Job.m_Deadline = m_Loop.now() + Duration(Frame.deadline_left);
   const std::uint64_t Stream = Frame.stream;
   if (Frame.service != m_Settings.m_Service.value())
-    return peerAnswer(Link, Stream, {.m_Reason = Reason::UnknownService});
+    return sendPeerAnswer(Link, Stream, {.m_Reason = Reason::UnknownService});
   m_PeerJobs[{Link, Stream}] = m_Agent.submit(
       std::move(Job), Map, [this, Link, Stream](const TargetJobResult &Result) {
-        peerAnswer(Link, Stream, Result);
+        sendPeerAnswer(Link, Stream, Result);
       });
 }
 
-void Router::peerAnswer(std::uint64_t Link, std::uint64_t Stream,
-                        const TargetJobResult &Result) {
+void Router::sendPeerAnswer(std::uint64_t Link, std::uint64_t Stream,
+                            const TargetJobResult &Result) {
   m_PeerJobs.erase({Link, Stream});
   LinkFrame Frame;
   Frame.kind = LinkFrameKind::Answer;
@@ -209,7 +212,7 @@
   Frame.retry_after = Result.m_RetryAfter.count();
   setHeaders(Frame, Result.m_Answer.m_Headers);
   Frame.gate = gateToWire(m_Agent.gateReport());
-  if (Result.m_Answer.m_Body.size() >= LargeBody)
+  if (Result.m_Answer.m_Body.size() >= LargeBodyBytes)
     m_Mesh.answerLarge(Link, Frame, Result.m_Answer.m_Body);
   else
     m_Mesh.answer(Link, Frame, Result.m_Answer.m_Body);
--- a/src/router/row_catch_up.h
+++ b/src/router/row_catch_up.h
@@ -1,9 +1,9 @@
-// When a daemon asks another one for rows that it lacks.
+// Decides when a daemon asks a peer for rows that it is missing.
 //
-// Load pattern: operators change a large configuration several times a second,
-// and each daemon hears from all others that they have a newer one. Asking each
-// of them brings the same rows many times over and fills a narrow link, so that
-// the table itself can't be read any more.
+// Load pattern: operators change a large configuration several times per
+// second, and every peer reports a newer version to each daemon. Requesting it
+// from each of them would transfer the same rows many times and saturate a slow
+// link, so that the table itself couldn't be read.
 #pragma once
 
 #include "balsamwheel/detail/core/time.h"
@@ -14,31 +14,35 @@
 
 namespace balsamwheel {
 
-/// Versions up to which a daemon has seen the rows of both tables.
+/// Versions up to which a daemon knows the rows of both tables.
 struct RowsSeen {
   RowVersion m_Operators;
   RowVersion m_Own;
 };
 
 struct RowCatchUpOptions {
-  /// How long a daemon that reaches the table may lack an operators' row: its
-  /// own watch brings the row, unless the watch has gone silent.
-  Duration m_Patience = std::chrono::milliseconds(1000);
-  /// From one request for rows to the next, unless the first is answered.
-  Duration m_AnswerLimit = std::chrono::milliseconds(1000);
+  /// How long a daemon that can reach the table may be missing an operators'
+  /// row before it asks a peer: normally its own watch brings the row, unless
+  /// the watch's connection has failed silently.
+  Duration m_MaxWatchLag = std::chrono::milliseconds(1000);
+  /// Time after which a request for rows that hasn't been answered is repeated.
+  Duration m_AnswerTimeout = std::chrono::milliseconds(1000);
 };
 
-/// Pure; not thread-safe. Invariant: one request at a time is under way.
+/// Performs no I/O and reads no clock; not thread-safe. Invariant: at most one
+/// request is outstanding.
 class RowCatchUp {
 public:
   explicit RowCatchUp(RowCatchUpOptions Options = {}) : m_Options(Options) {}
 
-  /// A peer reports what it has seen.
+  /// Handles a peer's report of the rows that it knows.
   ///
-  /// \param Reachable the last call about the operators' table succeeded.
-  /// \returns the versions after which rows are to be asked for, if any.
+  /// \param TableReachable whether the last call to the operators' table
+  /// succeeded.
+  /// \returns the versions after which rows are to be requested; none if
+  /// nothing is.
   std::optional<RowsSeen> onReport(const RowsSeen &Peer, const RowsSeen &Seen,
-                                   bool Reachable, TimePoint Now) {
+                                   bool TableReachable, TimePoint Now) {
     if (Seen.m_Operators != m_LastSeen) {
       m_LastSeen = Seen.m_Operators;
       m_Behind = false;
@@ -48,27 +52,29 @@
       m_BehindSince = Now;
     m_Behind |= Behind;
     const bool WantsOperators =
-        Behind && (!Reachable || Now - m_BehindSince >= m_Options.m_Patience);
+        Behind &&
+        (!TableReachable || Now - m_BehindSince >= m_Options.m_MaxWatchLag);
     const bool WantsOwn = Peer.m_Own > Seen.m_Own;
-    if ((!WantsOperators && !WantsOwn) || Now < m_AskedUntil)
+    if ((!WantsOperators && !WantsOwn) || Now < m_RequestExpiry)
       return std::nullopt;
-    m_AskedUntil = Now + m_Options.m_AnswerLimit;
+    m_RequestExpiry = Now + m_Options.m_AnswerTimeout;
     RowsSeen Wanted = Seen;
     if (!WantsOperators)
       Wanted.m_Operators = std::max(Peer.m_Operators, Seen.m_Operators);
     return Wanted;
   }
 
-  /// Rows arrived; they may be the answer.
-  void onRows() { m_AskedUntil = TimePoint(); }
+  /// Rows have arrived; they are taken as the answer to the request.
+  void onRows() { m_RequestExpiry = TimePoint(); }
 
 private:
   RowCatchUpOptions m_Options;
   RowVersion m_LastSeen;
-  /// A peer has reported newer rows of the operators' table than are known.
+  /// A peer has reported newer rows of the operators' table than this daemon
+  /// knows.
   bool m_Behind = false;
   TimePoint m_BehindSince;
-  TimePoint m_AskedUntil;
+  TimePoint m_RequestExpiry;
 };
 
 } // namespace balsamwheel
--- a/src/router/table_follower.h
+++ b/src/router/table_follower.h
@@ -1,5 +1,5 @@
-// Keeps the mirror of the platform's tables up to date, from the table itself
-// and, while that can't be reached, from other daemons.
+// Keeps the mirror of the platform's tables up to date, from the tables
+// themselves and, while they are unreachable, from other daemons.
 #pragma once
 
 #include "event_log.h"
@@ -10,18 +10,18 @@
 namespace balsamwheel {
 
 struct TableFollowerOptions {
-  /// Time that one watch waits for a change: between these, so that the watches
-  /// of many daemons end at different times. A watch whose connection has gone
-  /// silent is noticed after it.
-  Duration m_ShortestWait = std::chrono::seconds(2);
-  Duration m_LongestWait = std::chrono::seconds(8);
-  Duration m_FirstRetry = std::chrono::milliseconds(150);
-  Duration m_LongestRetry = std::chrono::milliseconds(1200);
-  /// Bytes a second that changes may take of the machine's link; 0 means no
-  /// limit. Large rows that change often are then read less often.
+  /// Each watch waits for a change for a random time between these, so that the
+  /// watches of many daemons end at different times. A connection that has
+  /// failed silently is noticed when the time has passed.
+  Duration m_MinWait = std::chrono::seconds(2);
+  Duration m_MaxWait = std::chrono::seconds(8);
+  Duration m_MinRetryDelay = std::chrono::milliseconds(150);
+  Duration m_MaxRetryDelay = std::chrono::milliseconds(1200);
+  /// Bandwidth for reading changes, in bytes per second; 0 means no limit.
+  /// Large rows that change often are then read less often.
   double m_BytesPerSecond = 0;
-  /// Longest pause between two watches for that.
-  Duration m_LongestPause = std::chrono::milliseconds(700);
+  /// Maximum delay between two watches because of the bandwidth limit.
+  Duration m_MaxPause = std::chrono::milliseconds(700);
 };
 
 class TableFollower {
@@ -30,54 +30,59 @@
 
   TableFollower(EventLoop &Loop, EventLog &Log, TableService &Table,
                 TableFollowerOptions Options, std::uint64_t Seed,
-                OnRow Changed);
+                OnRow OnChange);
 
   void start();
-  /// Whether this daemon watches the own table itself. Others learn changes
-  /// from those who do, so that a change doesn't cost a call for each daemon.
+  /// Sets whether this daemon watches the daemons' own table itself. The other
+  /// daemons get its changes from those that do, so that a change doesn't cost
+  /// a call by each daemon.
   void setWatching(bool Watching);
-  /// Applies a row that another daemon passed on, or a reply to a commit.
+  /// Applies a row that another daemon has sent or a commit has returned.
+  /// \param Source where the row comes from, for the log.
   void apply(const MirroredRow &Row, const char *Source);
   const TableMirror &mirror() const { return m_Mirror; }
-  /// Whether the table has been read since the start.
+  /// Whether the table has been read since the start of the process.
   bool hasRead(TableName Table) const;
-  /// Whether the last call about the table succeeded.
+  /// Whether the last call to the table succeeded.
   bool isReachable(TableName Table) const;
 
 private:
-  struct Followed {
+  struct FollowedTable {
     TableName m_Table;
-    /// Changes after it are watched for; none before the table has been read.
+    /// Version after which changes are watched for; none while the table has to
+    /// be read first.
     std::optional<RowVersion> m_Position;
-    bool m_EverRead = false;
+    bool m_HasBeenRead = false;
     bool m_Reachable = false;
-    Duration m_Pause{0};
+    Duration m_RetryDelay{0};
     bool m_Watching = true;
-    /// No call is under way or planned.
-    bool m_Resting = false;
+    /// No call is in progress or scheduled.
+    bool m_Idle = false;
   };
 
-  Followed &of(TableName Table) {
+  FollowedTable &followed(TableName Table) {
     return Table == TableName::Operators ? m_Operators : m_Own;
   }
-  void next(Followed &Of);
-  Duration watchWait();
-  /// Until the next watch, after one that brought \p Rows.
+  void startCall(FollowedTable &Followed);
+  Duration randomWatchWait();
+  /// Delay before the next watch, after one that returned \p Rows.
   Duration pauseAfter(const std::vector<MirroredRow> &Rows) const;
-  void readDone(Followed &Of, const TableServiceReply &Reply);
-  void watchDone(Followed &Of, const TableServiceReply &Reply);
-  /// \returns whether the call succeeded; else it is repeated later.
-  bool settle(Followed &Of, const TableServiceReply &Reply);
+  void readDone(FollowedTable &Followed, const TableServiceReply &Reply);
+  void watchDone(FollowedTable &Followed, const TableServiceReply &Reply);
+  /// Records whether the table was reachable; schedules a retry if not.
+  /// \returns whether the call succeeded.
+  bool recordReachability(FollowedTable &Followed,
+                          const TableServiceReply &Reply);
 
   EventLoop &m_Loop;
   EventLog &m_Log;
   TableService &m_Service;
   TableFollowerOptions m_Options;
-  OnRow m_Changed;
+  OnRow m_OnChange;
   TableMirror m_Mirror;
   pcg32 m_Random;
-  Followed m_Operators{.m_Table = TableName::Operators};
-  Followed m_Own{.m_Table = TableName::Own};
+  FollowedTable m_Operators{.m_Table = TableName::Operators};
+  FollowedTable m_Own{.m_Table = TableName::Own};
 };
 
 } // namespace balsamwheel
--- a/src/router/unreported_owner.h
+++ b/src/router/unreported_owner.h
@@ -1,4 +1,4 @@
-// What becomes of an owner of keys whose target nobody reports any more.
+// State of an owner of keys whose target is no longer reported by any daemon.
 #pragma once
 
 #include "balsamwheel/detail/keyspace/key_planner.h"
@@ -7,34 +7,36 @@
 
 namespace balsamwheel {
 
-/// What is known of an owner that the key map names, but that isn't the target
+/// Known facts about an owner that the key map names but that isn't the target
 /// which its instance reports.
 struct UnreportedOwner {
-  /// The daemon of its instance is in reach.
-  bool m_Up = false;
-  /// That daemon serves a target of another service now: the instance was given
-  /// away, and nobody there will adopt the keys.
-  bool m_ServesOtherwise = false;
-  /// What that daemon says of its present target.
+  /// The daemon of the owner's instance is reachable.
+  bool m_Reachable = false;
+  /// That daemon now serves a target of another service: the instance was
+  /// reassigned, and no target there will adopt the keys.
+  bool m_ServesOtherService = false;
+  /// Condition of that daemon's current target, if reported.
   std::optional<TargetCondition> m_Reported;
-  /// Since when the daemon has been out of reach.
+  /// How long that daemon has been unreachable; none while it is reachable.
   std::optional<Duration> m_DownFor;
 };
 
-/// How long an unreachable owner of keys is taken to be restarting.
-inline constexpr Duration OwnerLostAfter = std::chrono::milliseconds(2500);
+/// How long an unreachable owner of keys is assumed to be restarting.
+inline constexpr Duration OwnerLossTimeout = std::chrono::milliseconds(2500);
 
-/// Lost means that the keys are revoked, which waits their hold out; Shaken
-/// that they stay, as the instance is expected to take them up again.
+/// Derives the condition of the owner. Lost: its keys are to be revoked, and
+/// become free when its hold has expired. Ended: no target holds its keys any
+/// more. NoNewKeys: it keeps its keys, since the next target of its instance is
+/// expected to adopt them.
 inline TargetCondition conditionOf(const UnreportedOwner &Owner) {
-  if (Owner.m_Up && Owner.m_ServesOtherwise)
+  if (Owner.m_Reachable && Owner.m_ServesOtherService)
     return TargetCondition::Lost;
-  if (Owner.m_Up && Owner.m_Reported)
+  if (Owner.m_Reachable && Owner.m_Reported)
     return *Owner.m_Reported == TargetCondition::Ended
                ? TargetCondition::Ended
-               : TargetCondition::Shaken;
-  if (Owner.m_DownFor && *Owner.m_DownFor <= OwnerLostAfter)
-    return TargetCondition::Shaken;
+               : TargetCondition::NoNewKeys;
+  if (Owner.m_DownFor && *Owner.m_DownFor <= OwnerLossTimeout)
+    return TargetCondition::NoNewKeys;
   return TargetCondition::Lost;
 }
 
--- a/tests/coordinator_cluster.h
+++ b/tests/coordinator_cluster.h
@@ -1,5 +1,5 @@
-// Several coordinators over an in-memory table and a delayed message queue,
-// driven by a simulated clock.
+// Several coordinators with an in-memory table and delayed messages, driven by
+// a simulated clock.
 #pragma once
 
 #include "balsamwheel/coordination.h"
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Rows with versions, and conditional transactions over them.
+/// Versioned rows with conditional transactions.
 class MemoryTable {
 public:
   TableReply read(const TableRead &Read) const {
@@ -58,6 +58,7 @@
   std::size_t m_Writes = 0;
 };
 
+/// A configuration with one service that is divided by key into shards.
 inline Config makeKeyedConfig(std::uint64_t Version, std::uint32_t Shards) {
   Config Result;
   Result.m_Version = ConfigVersion(Version);
@@ -80,14 +81,14 @@
     std::unique_ptr<Coordinator> m_Coordinator;
     PeerAddress m_Peer;
     DomainName m_Domain;
-    /// Replies to an earlier run are dropped.
+    /// Number of the current run; replies to an earlier one are dropped.
     std::uint64_t m_Run = 0;
     bool m_Paused = false;
     bool m_Dead = false;
-    /// Cannot reach the table.
-    bool m_NoTable = false;
-    /// Cannot reach other daemons.
-    bool m_NoPeers = false;
+    /// This daemon can't reach the table.
+    bool m_TableUnreachable = false;
+    /// This daemon can't exchange messages with others.
+    bool m_PeersUnreachable = false;
     std::vector<std::function<void()>> m_Inbox;
   };
 
@@ -97,12 +98,12 @@
   }
 
   void commitConfig(const Config &Next) {
-    const Row Current = m_Table.get(ConfigHeadRow);
+    const Row Current = m_Table.get(ConfigHeadRowKey);
     const Config Base = configFromRow(Current).value_or(Config{});
     Transaction Commit =
         makeConfigCommit(Current, Base, Next, WriteId(m_Table.m_LastVersion));
-    appendHeadBump(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
-                   {{ConfigHeadRow, Next.m_Version.value()}});
+    appendHeadUpdate(Commit, *parseHeadRow(m_Table.get(HeadRowKey)),
+                     {{ConfigHeadRowKey, Next.m_Version.value()}});
     m_Table.commit(Commit);
   }
 
@@ -115,39 +116,41 @@
     return Index;
   }
 
-  /// Starts a new run of a daemon in the slot of an earlier one.
+  /// Replaces a daemon by a new run at the same address.
   void restart(std::size_t Index, CoordinatorOptions Options = {}) {
-    Daemon &Value = m_Daemons[Index];
+    Daemon &Restarted = m_Daemons[Index];
     Options.m_Instance = InstanceName("i" + std::to_string(Index));
-    Options.m_Domain = Value.m_Domain;
+    Options.m_Domain = Restarted.m_Domain;
     Options.m_Region = RegionName("r");
-    Options.m_Peer = Value.m_Peer;
-    Value.m_Inbox.clear();
-    Value.m_Dead = Value.m_Paused = false;
-    ++Value.m_Run;
-    Value.m_Coordinator =
+    Options.m_Peer = Restarted.m_Peer;
+    Restarted.m_Inbox.clear();
+    Restarted.m_Dead = Restarted.m_Paused = false;
+    ++Restarted.m_Run;
+    Restarted.m_Coordinator =
         std::make_unique<Coordinator>(Options, m_Seed + ++m_Starts);
-    Value.m_Coordinator->start(m_Now);
-    Value.m_Coordinator->onTargetReady(ServiceName("orders"), 10, m_Now);
+    Restarted.m_Coordinator->start(m_Now);
+    Restarted.m_Coordinator->onTargetReady(ServiceName("orders"), 10, m_Now);
     collect(Index);
   }
 
-  /// Runs until every shard is served.
+  /// Runs until every shard is served or \p Limit has passed.
   ///
-  /// \returns how long that took, at most \p Limit.
+  /// \returns the simulated time that this took.
   Duration runUntilServed(std::uint32_t Shards, Duration Limit) {
     const TimePoint Begin = m_Now;
-    while (m_Now - Begin < Limit && served(Shards) < Shards)
+    while (m_Now - Begin < Limit && servedShards(Shards) < Shards)
       run(milliseconds(10));
     return m_Now - Begin;
   }
 
-  /// Runs and counts how many shards are unserved, summed over milliseconds.
-  Duration unservedDuring(std::uint32_t Shards, Duration Time) {
+  /// Runs for \p Time.
+  ///
+  /// \returns the time without service, summed over all shards.
+  Duration unservedShardTime(std::uint32_t Shards, Duration Time) {
     Duration Result{0};
     for (const TimePoint End = m_Now + Time; m_Now < End;) {
       run(milliseconds(10));
-      Result += milliseconds(10) * (Shards - served(Shards));
+      Result += milliseconds(10) * (Shards - servedShards(Shards));
     }
     return Result;
   }
@@ -162,26 +165,26 @@
 
   Coordinator &at(std::size_t Index) { return *m_Daemons[Index].m_Coordinator; }
 
-  /// Sessions that may send an order for a key now.
-  std::vector<std::size_t> permitted(KeyHash Key) const {
+  /// Indexes of the running daemons that may send an order for a key now.
+  std::vector<std::size_t> permittedDaemons(KeyHash Key) const {
     std::vector<std::size_t> Result;
     for (std::size_t Index = 0; Index < m_Daemons.size(); ++Index) {
-      const Daemon &Value = m_Daemons[Index];
-      if (Value.m_Dead || Value.m_Paused)
+      const Daemon &Each = m_Daemons[Index];
+      if (Each.m_Dead || Each.m_Paused)
         continue;
       const Permit Answer =
-          Value.m_Coordinator->permit(ServiceName("orders"), Key, m_Now);
+          Each.m_Coordinator->permit(ServiceName("orders"), Key, m_Now);
       if (Answer.m_Granted)
         Result.push_back(Index);
     }
     return Result;
   }
 
-  /// Shards that some daemon may serve now.
-  std::size_t served(std::uint32_t Shards) const {
+  /// Number of shards that at least one daemon may serve now.
+  std::size_t servedShards(std::uint32_t Shards) const {
     std::size_t Result = 0;
     for (std::uint32_t Shard = 0; Shard < Shards; ++Shard)
-      Result += permitted(KeyHash(Shard)).empty() ? 0 : 1;
+      Result += permittedDaemons(KeyHash(Shard)).empty() ? 0 : 1;
     return Result;
   }
 
@@ -192,13 +195,15 @@
   std::uint64_t m_Starts = 0;
   Duration m_TableDelay = milliseconds(2);
   bool m_TableDown = false;
-  /// Replies of this many commits are lost after they were applied.
-  std::size_t m_LoseAnswers = 0;
-  /// Most daemons that could serve one shard at the same time.
-  std::size_t m_MostOwners = 0;
-  /// Shards checked in each step; 0 for none.
-  std::uint32_t m_CheckShards = 0;
-  std::function<void(std::size_t, const SendControl &)> m_Trace;
+  /// Number of commits, counted from now, that are applied but whose reply is
+  /// lost.
+  std::size_t m_RepliesToLose = 0;
+  /// Highest number of daemons that could serve one shard at the same time.
+  std::size_t m_MaxOwners = 0;
+  /// Number of shards checked for several owners in each step; 0 for none.
+  std::uint32_t m_CheckedShards = 0;
+  /// Called with the index of the sender for each message sent.
+  std::function<void(std::size_t, const SendControl &)> m_OnSend;
 
 private:
   void step() {
@@ -208,18 +213,19 @@
     }
     for (std::size_t Index = 0; Index < m_Daemons.size(); ++Index)
       drive(Index);
-    for (std::uint32_t Shard = 0; Shard < m_CheckShards; ++Shard)
-      m_MostOwners = std::max(m_MostOwners, permitted(KeyHash(Shard)).size());
+    for (std::uint32_t Shard = 0; Shard < m_CheckedShards; ++Shard)
+      m_MaxOwners =
+          std::max(m_MaxOwners, permittedDaemons(KeyHash(Shard)).size());
   }
 
   void drive(std::size_t Index) {
-    Daemon &Value = m_Daemons[Index];
-    if (Value.m_Dead || Value.m_Paused)
+    Daemon &Current = m_Daemons[Index];
+    if (Current.m_Dead || Current.m_Paused)
       return;
-    for (const auto &Event : std::exchange(Value.m_Inbox, {}))
+    for (const auto &Event : std::exchange(Current.m_Inbox, {}))
       Event();
-    if (Value.m_Coordinator->nextWake() <= m_Now)
-      Value.m_Coordinator->onTick(m_Now);
+    if (Current.m_Coordinator->nextWake() <= m_Now)
+      Current.m_Coordinator->onTick(m_Now);
     collect(Index);
   }
 
@@ -234,19 +240,22 @@
     }
   }
 
-  void deliver(std::size_t From, SendControl Send) {
-    if (m_Trace)
-      m_Trace(From, Send);
-    for (std::size_t To = 0; To < m_Daemons.size(); ++To) {
-      if (m_Daemons[To].m_Peer != Send.m_To || m_Daemons[To].m_Dead)
+  void deliver(std::size_t Sender, SendControl Send) {
+    if (m_OnSend)
+      m_OnSend(Sender, Send);
+    for (std::size_t Receiver = 0; Receiver < m_Daemons.size(); ++Receiver) {
+      if (m_Daemons[Receiver].m_Peer != Send.m_To || m_Daemons[Receiver].m_Dead)
         continue;
-      later(milliseconds(1), [this, From, To, Message = Send.m_Message] {
-        if (m_Daemons[From].m_NoPeers || m_Daemons[To].m_NoPeers)
-          return;
-        m_Daemons[To].m_Inbox.push_back([this, From, To, Message] {
-          at(To).onMessage(Message, m_Daemons[From].m_Peer, m_Now);
-        });
-      });
+      later(
+          milliseconds(1), [this, Sender, Receiver, Message = Send.m_Message] {
+            if (m_Daemons[Sender].m_PeersUnreachable ||
+                m_Daemons[Receiver].m_PeersUnreachable)
+              return;
+            m_Daemons[Receiver].m_Inbox.push_back([this, Sender, Receiver,
+                                                   Message] {
+              at(Receiver).onMessage(Message, m_Daemons[Sender].m_Peer, m_Now);
+            });
+          });
     }
   }
 
@@ -254,7 +263,7 @@
     const std::uint64_t Run = m_Daemons[Index].m_Run;
     later(m_TableDelay / 2, [this, Index, Read, Run] {
       TableReply Reply;
-      if (!m_TableDown && !m_Daemons[Index].m_NoTable)
+      if (!m_TableDown && !m_Daemons[Index].m_TableUnreachable)
         Reply = m_Table.read(Read.m_Read);
       reply(Index, Run, Read.m_Ticket, std::move(Reply));
     });
@@ -264,10 +273,10 @@
     const std::uint64_t Run = m_Daemons[Index].m_Run;
     later(m_TableDelay / 2, [this, Index, Commit, Run] {
       TableReply Reply;
-      if (!m_TableDown && !m_Daemons[Index].m_NoTable) {
+      if (!m_TableDown && !m_Daemons[Index].m_TableUnreachable) {
         Reply = m_Table.commit(Commit.m_Transaction);
-        if (m_LoseAnswers > 0) {
-          --m_LoseAnswers;
+        if (m_RepliesToLose > 0) {
+          --m_RepliesToLose;
           Reply = {TableStatus::Ambiguous, {}};
         }
       }
--- a/tests/fake_network.h
+++ b/tests/fake_network.h
@@ -1,5 +1,5 @@
-// A bag of messages between daemons: drops, doubles, delays, reorders, cuts
-// links, and silences connections until they are reset.
+// A simulated network between daemons that drops, duplicates, delays and
+// reorders messages, cuts links, and silences connections until they are reset.
 #pragma once
 
 #include "fake_events.h"
@@ -11,60 +11,66 @@
 
 class FakeNetwork {
 public:
-  using Deliver =
-      std::function<void(std::size_t To, std::size_t From, PeerMessage)>;
+  using Deliver = std::function<void(std::size_t Receiver, std::size_t Sender,
+                                     PeerMessage)>;
 
   FakeNetwork(EventQueue &Queue, std::uint64_t Seed)
-      : m_Queue(Queue), m_Dice(Seed) {}
+      : m_Queue(Queue), m_Random(Seed) {}
 
   unsigned m_LossPercent = 0;
-  unsigned m_DoublePercent = 0;
-  /// Percent of messages that come up to m_LateDelay later than others.
+  unsigned m_DuplicatePercent = 0;
+  /// Percentage of messages that are delayed by up to m_LateDelay more.
   unsigned m_LatePercent = 0;
   Duration m_LateDelay = milliseconds(400);
   Deliver m_Deliver;
 
-  /// Ends every fault but silent connections: only a reset cures those.
+  /// Ends every fault except silent connections, which only a reset restores.
   void heal() {
-    m_LossPercent = m_DoublePercent = m_LatePercent = 0;
-    m_Cut.clear();
+    m_LossPercent = m_DuplicatePercent = m_LatePercent = 0;
+    m_CutLinks.clear();
   }
 
-  void cut(std::size_t From, std::size_t To) { m_Cut.insert({From, To}); }
-  /// What one end sends on the present connection never arrives any more.
-  void silence(std::size_t From, std::size_t To) {
-    m_Silent.insert({From, To});
+  /// Discards all messages from one daemon to another, also those under way.
+  void cut(std::size_t Sender, std::size_t Receiver) {
+    m_CutLinks.insert({Sender, Receiver});
   }
-  void reset(std::size_t From, std::size_t To) {
-    m_Silent.erase({From, To});
-    m_Silent.erase({To, From});
+  /// Discards everything that one end sends on the current connection.
+  void silence(std::size_t Sender, std::size_t Receiver) {
+    m_SilentLinks.insert({Sender, Receiver});
   }
-  bool anyCut() const { return !m_Cut.empty(); }
-  bool anySilent() const { return !m_Silent.empty(); }
+  /// Replaces the connection between two daemons; ends silence() both ways.
+  void reset(std::size_t Sender, std::size_t Receiver) {
+    m_SilentLinks.erase({Sender, Receiver});
+    m_SilentLinks.erase({Receiver, Sender});
+  }
+  bool anyCut() const { return !m_CutLinks.empty(); }
+  bool anySilent() const { return !m_SilentLinks.empty(); }
 
-  void send(std::size_t From, std::size_t To, const PeerMessage &Message) {
-    if (m_Silent.contains({From, To}) || m_Dice.chance(m_LossPercent))
+  void send(std::size_t Sender, std::size_t Receiver,
+            const PeerMessage &Message) {
+    if (m_SilentLinks.contains({Sender, Receiver}) ||
+        m_Random.chance(m_LossPercent))
       return;
-    const int Copies = m_Dice.chance(m_DoublePercent) ? 2 : 1;
+    const int Copies = m_Random.chance(m_DuplicatePercent) ? 2 : 1;
     for (int Copy = 0; Copy < Copies; ++Copy)
-      m_Queue.after(delay(), [this, From, To, Message] {
-        if (!m_Cut.contains({From, To}))
-          m_Deliver(To, From, Message);
+      m_Queue.after(delay(), [this, Sender, Receiver, Message] {
+        if (!m_CutLinks.contains({Sender, Receiver}))
+          m_Deliver(Receiver, Sender, Message);
       });
   }
 
 private:
   Duration delay() {
-    Duration Result = m_Dice.between(microseconds(200), microseconds(1500));
-    if (m_Dice.chance(m_LatePercent))
-      Result += m_Dice.between(Duration(0), m_LateDelay);
+    Duration Result = m_Random.between(microseconds(200), microseconds(1500));
+    if (m_Random.chance(m_LatePercent))
+      Result += m_Random.between(Duration(0), m_LateDelay);
     return Result;
   }
 
   EventQueue &m_Queue;
-  Dice m_Dice;
-  std::set<std::pair<std::size_t, std::size_t>> m_Cut;
-  std::set<std::pair<std::size_t, std::size_t>> m_Silent;
+  RandomSource m_Random;
+  std::set<std::pair<std::size_t, std::size_t>> m_CutLinks;
+  std::set<std::pair<std::size_t, std::size_t>> m_SilentLinks;
 };
 
 } // namespace balsamwheel::testing
--- a/tests/fake_table.h
+++ b/tests/fake_table.h
@@ -1,4 +1,4 @@
-// The platform's table in memory, with its faults.
+// In-memory table of the platform with injected faults.
 #pragma once
 
 #include "fake_events.h"
@@ -11,18 +11,18 @@
 
 class FakeTable {
 public:
-  using Done = std::function<void(TableReply)>;
+  using ReplyCallback = std::function<void(TableReply)>;
 
   FakeTable(EventQueue &Queue, std::uint64_t Seed)
-      : m_Queue(Queue), m_Dice(Seed) {}
+      : m_Queue(Queue), m_Random(Seed) {}
 
-  // Faults; all clients unless said otherwise.
+  // Injected faults. They apply to all clients unless stated otherwise.
   bool m_Down = false;
   Duration m_Delay = milliseconds(1);
-  /// Percent of commits that get no answer. A part of them is applied before,
-  /// a part later, the rest never.
+  /// Percentage of commits that are answered with Ambiguous. One third of them
+  /// is applied at once, one third after a random delay and the rest never.
   unsigned m_AmbiguousPercent = 0;
-  /// Clients that cannot reach the table.
+  /// By client: whether it can't reach the table.
   std::vector<bool> m_CutOff = std::vector<bool>(16);
   /// Called after each applied transaction.
   std::function<void(const Transaction &)> m_OnCommit;
@@ -34,7 +34,7 @@
     m_CutOff.assign(m_CutOff.size(), false);
   }
 
-  void read(std::size_t Client, const TableRead &Read, Done Reply) {
+  void read(std::size_t Client, const TableRead &Read, ReplyCallback Reply) {
     m_Queue.after(m_Delay, [this, Client, Read, Reply] {
       if (m_Down || m_CutOff[Client])
         respond({TableStatus::Unavailable, {}}, Reply);
@@ -43,12 +43,13 @@
     });
   }
 
-  void commit(std::size_t Client, const Transaction &Commit, Done Reply) {
+  void commit(std::size_t Client, const Transaction &Commit,
+              ReplyCallback Reply) {
     m_Queue.after(m_Delay, [this, Client, Commit, Reply] {
       if (m_Down || m_CutOff[Client])
         respond({TableStatus::Unavailable, {}}, Reply);
-      else if (m_Dice.chance(m_AmbiguousPercent))
-        commitWithoutAnswer(Commit, Reply);
+      else if (m_Random.chance(m_AmbiguousPercent))
+        commitAmbiguously(Commit, Reply);
       else
         respond(commitNow(Commit), Reply);
     });
@@ -90,24 +91,26 @@
   }
 
 private:
-  void respond(TableReply Reply, const Done &To) {
-    m_Queue.after(m_Delay, [Reply = std::move(Reply), To] { To(Reply); });
+  void respond(TableReply Reply, const ReplyCallback &OnReply) {
+    m_Queue.after(m_Delay,
+                  [Reply = std::move(Reply), OnReply] { OnReply(Reply); });
   }
 
-  void commitWithoutAnswer(const Transaction &Commit, const Done &Reply) {
-    const std::uint64_t Kind = m_Dice.below(3);
-    if (Kind == 0)
+  void commitAmbiguously(const Transaction &Commit,
+                         const ReplyCallback &Reply) {
+    const std::uint64_t Outcome = m_Random.below(3);
+    if (Outcome == 0)
       commitNow(Commit);
-    if (Kind == 1)
-      m_Queue.after(m_Dice.between(milliseconds(5), seconds(4)),
+    if (Outcome == 1)
+      m_Queue.after(m_Random.between(milliseconds(5), seconds(4)),
                     [this, Commit] { commitNow(Commit); });
-    m_Queue.after(m_Dice.between(milliseconds(50), milliseconds(600)),
+    m_Queue.after(m_Random.between(milliseconds(50), milliseconds(600)),
                   [Reply] { Reply({TableStatus::Ambiguous, {}}); });
   }
 
   EventQueue &m_Queue;
-  Dice m_Dice;
-  /// A deleted row keeps its version and an empty value.
+  RandomSource m_Random;
+  /// A deleted row keeps its version and has an empty value.
   std::map<std::string, Row> m_Rows;
 };
 
--- a/tests/node_rig.h
+++ b/tests/node_rig.h
@@ -1,5 +1,5 @@
-// Several nodes over fakes of everything around them, with skewed clocks,
-// faults on command, and an oracle that watches.
+// Test rig: several nodes with skewed clocks on a simulated table, network and
+// targets, with injected faults and an oracle that checks invariants.
 #pragma once
 
 #include "fake_network.h"
@@ -21,7 +21,8 @@
   HandoverMode m_Handover = HandoverMode::SwitchThenResolve;
 };
 
-/// What the fuzzers draw. Operands are reduced to what exists.
+/// Actions that the random tests draw. Operands are reduced modulo the number
+/// of daemons or keys.
 enum class RigAction : std::uint8_t {
   Run,
   Request,
@@ -37,7 +38,7 @@
   TableAmbiguous,
   Silence,
   Loss,
-  Doubles,
+  Duplicates,
   Late,
   FreezeTarget,
   ThawTarget,
@@ -57,10 +58,11 @@
 public:
   explicit NodeRig(RigOptions Options);
 
-  /// Performs one action. Deterministic in the seed and the operands.
+  /// Performs one action. The effect depends only on the seed, the actions so
+  /// far and the operands.
   void perform(RigAction Kind, std::uint64_t First, std::uint64_t Second);
   void run(Duration Time);
-  /// Ends every fault, waits, and expects that every key is served.
+  /// Ends every fault, waits for recovery, and checks that every key is served.
   void settle();
 
   bool failed() const { return !m_Oracle.violations().empty(); }
@@ -75,7 +77,7 @@
     std::string m_Domain;
     ServiceName m_Service;
     PeerAddress m_Peer;
-    /// Local time = m_Offset + m_Rate * true time.
+    /// Local time = m_Offset + m_Rate * global time.
     double m_Rate = 1;
     Duration m_Offset{0};
     unsigned m_Run = 0;
@@ -85,64 +87,67 @@
     bool m_TargetAnnounced = false;
     std::optional<TimePoint> m_LeavingSince;
     std::vector<EventQueue::Action> m_Inbox;
-    TimePoint m_TickAt = TimePoint::max();
+    TimePoint m_NextTickAt = TimePoint::max();
     ConfigVersion m_Config;
-    std::map<RequestHandle, CallerAttempt> m_Open;
+    std::map<RequestHandle, CallerAttempt> m_OpenAttempts;
   };
 
-  /// An order at a target, from its start to its end or deadline.
+  /// An order at a target, until its end or its deadline.
   struct ActiveOrder {
     std::size_t m_Daemon = 0;
     std::string m_Key;
     TimePoint m_Deadline;
   };
 
-  /// A request as its caller keeps it over its attempts.
+  /// A request, as its caller keeps it across attempts.
   struct Caller {
     RequestMeta m_Meta;
-    /// When the attempts that may have run were sent.
-    std::set<TimePoint> m_Unproven;
+    /// Send times of the attempts that may have run.
+    std::set<TimePoint> m_UnsettledSends;
   };
 
-  TimePoint localTime(const Daemon &Value) const;
-  TimePoint trueTime(const Daemon &Value, TimePoint Local) const;
+  TimePoint localTime(const Daemon &ThisDaemon) const;
+  TimePoint globalTime(const Daemon &ThisDaemon, TimePoint Local) const;
   std::size_t indexOf(const PeerAddress &Peer) const;
 
   void startDaemon(std::size_t Index);
   void announceTarget(std::size_t Index);
   void killDaemon(std::size_t Index);
   void resumeDaemon(std::size_t Index);
-  /// Hands an event to a node, now or when it is resumed.
-  void call(std::size_t Index, std::function<void(Node &, TimePoint)> Event);
-  void afterCall(std::size_t Index);
+  /// Passes an event to a node, now or when it is resumed.
+  void callNode(std::size_t Index,
+                std::function<void(Node &, TimePoint)> Event);
+  void afterNodeCall(std::size_t Index);
   void scheduleTick(std::size_t Index);
-  void carryOut(std::size_t Index, Effect Value);
-  void send(std::size_t From, const PeerAddress &To, PeerMessage Message);
+  void applyEffect(std::size_t Index, Effect Requested);
+  void send(std::size_t Sender, const PeerAddress &Receiver,
+            PeerMessage Message);
   void startOrder(std::size_t Index, StartOrder Order);
   void reportOrder(std::size_t Index, unsigned Run, OrderId Order, OrderEnd End,
                    const HttpAnswer &Http, TimePoint Started);
   void answer(std::size_t Index, const AnswerCaller &Answer);
 
   void request(std::uint64_t First, std::uint64_t Second);
-  void sendAttempt(const std::shared_ptr<Caller> &Who, std::size_t Index,
-                   Duration Limit);
-  void retryLater(const std::shared_ptr<Caller> &Who, Duration Limit);
+  void sendAttempt(const std::shared_ptr<Caller> &ThisCaller, std::size_t Index,
+                   Duration TimeToDeadline);
+  void scheduleRetry(const std::shared_ptr<Caller> &ThisCaller,
+                     Duration TimeToDeadline);
   void changeConfig(const std::function<void(Config &)> &Change);
   void raceConfigs(std::uint64_t First);
   Config currentConfig() const;
   void heal();
-  void markFault() { m_CalmSince = TimePoint::max(); }
-  bool calm() const { return m_CalmSince <= m_Queue.now(); }
+  void markFault() { m_FaultFreeSince = TimePoint::max(); }
+  bool isFaultFree() const { return m_FaultFreeSince <= m_Queue.now(); }
 
   void checkOwners();
   void checkVersions(std::size_t Index);
-  void checkNewWork(std::size_t Index, const StartOrder &Order);
+  void checkOrderAllowed(std::size_t Index, const StartOrder &Order);
   void checkServed();
-  /// Writes what each node knows into the trace.
-  void noteStates();
+  /// Writes the state of each node to the trace.
+  void traceNodeStates();
 
   RigOptions m_Options;
-  Dice m_Dice;
+  RandomSource m_Random;
   EventQueue m_Queue;
   NodeOracle m_Oracle;
   FakeTable m_Table;
@@ -151,11 +156,11 @@
   std::vector<std::string> m_Keys;
   std::map<std::pair<std::size_t, std::uint64_t>, ActiveOrder> m_Orders;
   std::map<RequestHandle, std::shared_ptr<Caller>> m_Callers;
-  std::map<std::string, TimePoint> m_OutSince;
-  TimePoint m_CalmSince;
+  std::map<std::string, TimePoint> m_DomainOutSince;
+  TimePoint m_FaultFreeSince;
   std::uint64_t m_LastHandle = 0;
   std::size_t m_Attempts = 0;
-  std::size_t m_Ids = 0;
+  std::size_t m_LastId = 0;
   bool m_Ending = false;
 };
 
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -1,4 +1,4 @@
-// Random soak of the node rig: balsamwheel-soak --seed N --steps N.
+// Random soak test of the node rig: balsamwheel-soak --seed N --steps N.
 #include "node_rig.h"
 
 #include <cxxopts.hpp>
@@ -12,20 +12,22 @@
 
 namespace {
 
-/// Steps after which the rig is healed, checked, and sometimes built anew.
+/// Maximum number of steps of an episode. Each episode uses a new rig and the
+/// next seed.
 constexpr std::uint64_t EpisodeSteps = 150;
+/// Number of steps after which all faults end and the rig is checked.
 constexpr std::uint64_t SettleEvery = 50;
 
-RigAction draw(Dice &Random) {
-  // Time and requests make up most of the steps.
-  const std::uint64_t Roll = Random.below(100);
-  if (Roll < 40)
+RigAction draw(RandomSource &Random) {
+  // Most steps let time pass or send requests.
+  const std::uint64_t Percent = Random.below(100);
+  if (Percent < 40)
     return RigAction::Run;
-  if (Roll < 60)
+  if (Percent < 60)
     return RigAction::Request;
-  if (Roll < 65)
+  if (Percent < 65)
     return RigAction::Burst;
-  if (Roll < 69)
+  if (Percent < 69)
     return RigAction::Heal;
   const auto First = static_cast<std::uint64_t>(RigAction::Pause);
   const auto Count = static_cast<std::uint64_t>(RigAction::Settle) - First;
@@ -57,9 +59,11 @@
   Sum.m_Unknown += Rig.oracle().answers(Outcome::Unknown);
 }
 
-/// One rig from its start; false on a violation.
+/// Runs a new rig for a number of steps.
+///
+/// \returns false if an invariant was violated.
 bool runEpisode(std::uint64_t Seed, std::uint64_t Steps, Totals &Sum) {
-  Dice Random(Seed);
+  RandomSource Random(Seed);
   NodeRig Rig(optionsFor(Seed));
   for (std::uint64_t Step = 1; Step <= Steps && !Rig.failed(); ++Step) {
     const RigAction Kind =
@@ -76,26 +80,26 @@
   for (const std::string &Line : Rig.oracle().trace())
     std::cout << "  " << Line << '\n';
   std::cout << "violation: " << Rig.oracle().violations().front() << '\n'
-            << "repeat: balsamwheel-soak --seed " << Seed << " --steps "
+            << "reproduce: balsamwheel-soak --seed " << Seed << " --steps "
             << Steps << std::endl;
   return false;
 }
 
 } // namespace
 
-int main(int Count, char **Words) {
-  cxxopts::Options Cli("balsamwheel-soak", "Random soak of several nodes");
+int main(int Count, char **Argv) {
+  cxxopts::Options Cli("balsamwheel-soak", "Random soak test of several nodes");
   Cli.add_options()("seed", "first seed",
                     cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "steps", "steps over all episodes",
+      "steps", "total steps of all episodes",
       cxxopts::value<std::uint64_t>()->default_value("1000"))("help", "usage");
-  const cxxopts::ParseResult Given = Cli.parse(Count, Words);
-  if (Given.count("help") != 0) {
+  const cxxopts::ParseResult Args = Cli.parse(Count, Argv);
+  if (Args.count("help") != 0) {
     std::cout << Cli.help();
     return 0;
   }
-  const auto First = Given["seed"].as<std::uint64_t>();
-  const auto Steps = Given["steps"].as<std::uint64_t>();
+  const auto First = Args["seed"].as<std::uint64_t>();
+  const auto Steps = Args["steps"].as<std::uint64_t>();
   Totals Sum;
   bool Clean = true;
   for (std::uint64_t Seed = First; Clean && Sum.m_Steps < Steps; ++Seed)
--- a/tests/unit-hold-ledger.cpp
+++ b/tests/unit-hold-ledger.cpp
@@ -1,4 +1,4 @@
-// Grants to one target, and when keys count as given back.
+// Tests of the grants to one target, and of when keys count as released.
 #include "balsamwheel/detail/keyspace/hold_ledger.h"
 
 #include <doctest/doctest.h>
@@ -10,9 +10,9 @@
 
 const TimePoint Start{std::chrono::hours(1)};
 const KeyOwner Self{.m_Instance = InstanceName("i"),
-                    .m_Target = {.m_Id = "t", .m_BornMs = 1}};
+                    .m_Target = {.m_Id = "t", .m_StartTimeMs = 1}};
 const KeyOwner Other{.m_Instance = InstanceName("j"),
-                     .m_Target = {.m_Id = "u", .m_BornMs = 1}};
+                     .m_Target = {.m_Id = "u", .m_StartTimeMs = 1}};
 
 KeyMap ownedBy(const KeyOwner &Owner, SpanState State = SpanState::Owned) {
   KeyMap Map;
@@ -20,26 +20,26 @@
               .m_Last = 999,
               .m_State = State,
               .m_Owner = Owner,
-              .m_Heir = Other,
-              .m_Fence = Map.takeFence()});
+              .m_NextOwner = Other,
+              .m_Fence = Map.issueFence()});
   return Map;
 }
 
 } // namespace
 
-TEST_CASE("only keys that the map gives to this incarnation are granted") {
+TEST_CASE("only keys that the map assigns to this incarnation are granted") {
   HoldLedger Ledger({}, Self);
   CHECK(Ledger.grant(ownedBy(Self), Start).size() == 1);
   CHECK(Ledger.grant(ownedBy(Other), Start).empty());
   CHECK(Ledger.grant(ownedBy(Self, SpanState::Releasing), Start).empty());
   CHECK(Ledger.grant(ownedBy(Self, SpanState::Revoked), Start).empty());
-  KeyOwner Reborn = Self;
-  Reborn.m_Target.m_BornMs = 2;
-  CHECK(HoldLedger({}, Reborn).grant(ownedBy(Self), Start).empty());
+  KeyOwner Restarted = Self;
+  Restarted.m_Target.m_StartTimeMs = 2;
+  CHECK(HoldLedger({}, Restarted).grant(ownedBy(Self), Start).empty());
 }
 
-TEST_CASE("requests end before a hold on a fast clock, takers wait for a slow "
-          "one") {
+TEST_CASE("a hold ends early for requests and late for other owners, to allow "
+          "for fast and slow clocks") {
   HoldLedger Ledger({.m_Hold = 10s, .m_SlowClockFactor = 1.02, .m_Margin = 1ms},
                     Self);
   Ledger.grant(ownedBy(Self), Start);
@@ -54,43 +54,44 @@
   Ledger.report({});
   Ledger.grant(ownedBy(Self), Start);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
-  CHECK(Ledger.completions(Moving).empty());
+  CHECK(Ledger.completedReleases(Moving).empty());
   Ledger.report({.m_Holds = {{.m_First = 0, .m_Last = 999}}});
   Ledger.grant(Moving, Start + 1s);
-  CHECK(Ledger.completions(Moving).empty());
+  CHECK(Ledger.completedReleases(Moving).empty());
   Ledger.report(
-      {.m_Released = {{.m_First = 0, .m_Last = 999, .m_Handover = "token"}}});
-  const auto Done = Ledger.completions(Moving);
+      {.m_Released = {
+           {.m_First = 0, .m_Last = 999, .m_HandoverToken = "token"}}});
+  const auto Done = Ledger.completedReleases(Moving);
   REQUIRE(Done.size() == 1);
-  CHECK(Done[0].m_Handover == "token");
+  CHECK(Done[0].m_HandoverToken == "token");
 }
 
-TEST_CASE("a span that the target still works on isn't given back") {
+TEST_CASE("a span that the target still reports as held is not released") {
   HoldLedger Ledger({}, Self);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
   Ledger.grant(Moving, Start);
-  for (int Beat = 0; Beat < 5; ++Beat) {
+  for (int Count = 0; Count < 5; ++Count) {
     Ledger.report({.m_Holds = {{.m_First = 10, .m_Last = 20}}});
-    CHECK(Ledger.completions(Moving).empty());
+    CHECK(Ledger.completedReleases(Moving).empty());
     Ledger.grant(Moving, Start + 1s);
   }
   Ledger.report({});
-  CHECK(Ledger.completions(Moving).size() == 1);
+  CHECK(Ledger.completedReleases(Moving).size() == 1);
 }
 
-TEST_CASE("after a daemon's restart a span counts as given back only after "
-          "two heartbeats without it") {
+TEST_CASE("after a daemon restart a span counts as released only after two "
+          "heartbeats without it") {
   HoldLedger Ledger({}, Self);
   const KeyMap Moving = ownedBy(Self, SpanState::Releasing);
   Ledger.report({});
-  CHECK(Ledger.completions(Moving).empty());
+  CHECK(Ledger.completedReleases(Moving).empty());
   Ledger.report({});
-  const auto Done = Ledger.completions(Moving);
+  const auto Done = Ledger.completedReleases(Moving);
   REQUIRE(Done.size() == 1);
-  CHECK(Done[0].m_Handover.empty());
+  CHECK(Done[0].m_HandoverToken.empty());
 }
 
-TEST_CASE("a revocation is waited out for the last grant on a slow clock") {
+TEST_CASE("the revocation wait covers the last grant on a slow clock") {
   const HoldOptions Holds{
       .m_Hold = 7s, .m_SlowClockFactor = 1.02, .m_Margin = 300ms};
   HoldLedger Ledger(Holds, Self);
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -1,4 +1,5 @@
-// The peer codec: whole messages come back, damaged frames are refused.
+// Tests the peer codec: messages are unchanged by a round trip, corrupted
+// frames are rejected.
 #include "adapters/peer_tcp/codec.h"
 #include "adapters/peer_tcp/error.h"
 
@@ -13,8 +14,8 @@
 
 namespace {
 
-// Generators for the types of message fields. None yields the default value
-// always, so that a field which the codec forgets is noticed.
+// Generators for the types of message fields. No generator always yields the
+// default value, so that a field that the codec omits is detected.
 template <typename T> T any() { return *rc::gen::nonZero<T>(); }
 
 template <> bool any<bool>() { return *rc::gen::arbitrary<bool>(); }
@@ -169,45 +170,52 @@
 
 template <> BodyCancel anyMessage() { return {any<std::uint64_t>()}; }
 
-/// Encodes and decodes one message and compares every field.
-template <typename Group, typename Message> bool survives() {
+/// Encodes and decodes one message and compares all fields.
+template <typename MessageVariant, typename Message>
+bool roundTripKeepsFields() {
   const auto Sent = anyMessage<Message>();
   WireMessage Decoded;
-  if (decode(encode(PeerMessage(Group(Sent))), Decoded))
+  if (decode(encode(PeerMessage(MessageVariant(Sent))), Decoded))
     return false;
-  const auto &Received = std::get<Group>(std::get<PeerMessage>(Decoded));
+  const auto &Received =
+      std::get<MessageVariant>(std::get<PeerMessage>(Decoded));
   return std::get<Message>(Received) == Sent;
 }
 
-template <typename Group, typename Message> void checkMessage() {
+template <typename MessageVariant, typename Message> void checkMessage() {
   CHECK(rc::check([] {
-    const bool Same = survives<Group, Message>();
+    const bool Same = roundTripKeepsFields<MessageVariant, Message>();
     RC_ASSERT(Same);
   }));
 }
 
-template <typename Group, std::size_t... Index>
-void checkGroup(std::index_sequence<Index...> /*Members*/) {
-  (checkMessage<Group, std::variant_alternative_t<Index, Group>>(), ...);
+template <typename MessageVariant, std::size_t... Index>
+void checkMessages(std::index_sequence<Index...> /*Members*/) {
+  (checkMessage<MessageVariant,
+                std::variant_alternative_t<Index, MessageVariant>>(),
+   ...);
 }
 
-template <typename Group> void checkGroup() {
-  checkGroup<Group>(std::make_index_sequence<std::variant_size_v<Group>>());
+template <typename MessageVariant> void checkMessages() {
+  checkMessages<MessageVariant>(
+      std::make_index_sequence<std::variant_size_v<MessageVariant>>());
 }
 
 } // namespace
 
-TEST_CASE("every control message keeps every field") {
-  checkGroup<ControlMessage>();
+TEST_CASE("a round trip preserves all fields of all control messages") {
+  checkMessages<ControlMessage>();
 }
 
-TEST_CASE("every request message keeps every field") {
-  checkGroup<RequestMessage>();
+TEST_CASE("a round trip preserves all fields of all request messages") {
+  checkMessages<RequestMessage>();
 }
 
-TEST_CASE("every body message keeps every field") { checkGroup<BodyMessage>(); }
+TEST_CASE("a round trip preserves all fields of all body messages") {
+  checkMessages<BodyMessage>();
+}
 
-TEST_CASE("a damaged frame is refused or decodes to some message") {
+TEST_CASE("a corrupted frame is rejected or decodes to a valid message") {
   CHECK(rc::check("one byte changed", [] {
     auto Frame =
         encode(PeerMessage(RequestMessage(anyMessage<ForwardRequest>())));
@@ -217,7 +225,7 @@
     if (!decode(Frame, Decoded))
       RC_ASSERT(!encode(Decoded).empty());
   }));
-  CHECK(rc::check("cut short", [] {
+  CHECK(rc::check("truncated", [] {
     const auto Frame =
         encode(PeerMessage(RequestMessage(anyMessage<OutcomeQuery>())));
     const auto Length = *rc::gen::inRange<std::size_t>(0, 8);
@@ -227,7 +235,7 @@
   }));
 }
 
-TEST_CASE("fields out of range are refused") {
+TEST_CASE("fields out of range are rejected") {
   ForwardReply Reply;
   Reply.m_Outcome = static_cast<Outcome>(200);
   WireMessage Decoded;
@@ -240,7 +248,7 @@
         TransportError::InvalidField);
 }
 
-TEST_CASE("an empty frame is refused") {
+TEST_CASE("an empty frame is rejected") {
   WireMessage Decoded;
   CHECK(decode({}, Decoded) == TransportError::MalformedFrame);
 }
--- a/tests/unit-store-client.cpp
+++ b/tests/unit-store-client.cpp
@@ -1,5 +1,5 @@
-// The platform's store over HTTP, against a scripted one: what is asked, and
-// what each kind of answer or silence means.
+// The client of the platform's store, against a scripted server: requests sent,
+// and the meaning of each kind of answer and of none.
 #include "platform/store_client.h"
 #include "support/raw_server.h"
 
@@ -17,11 +17,11 @@
                      std::to_string(Body.size()) + "\r\n\r\n" + Body};
 }
 
-/// One store call against a script.
+/// A store client and its scripted server.
 class StoreRig {
 public:
   explicit StoreRig(RawServer::Script Script)
-      : m_Server(std::move(Script)), m_Loop({.m_LongestSleep = 20ms}),
+      : m_Server(std::move(Script)), m_Loop({.m_MaxSleep = 20ms}),
         m_Log(m_Loop, {.m_Output = -1}),
         m_Store(m_Loop, *Endpoint::fromText(m_Server.address()), m_Metrics,
                 m_Log) {}
@@ -63,14 +63,14 @@
 
 } // namespace
 
-TEST_CASE("a commit names its condition, and its row comes back") {
+TEST_CASE("a commit sends its condition, and its reply contains the new row") {
   std::string Request;
   const TableServiceReply Reply = commitOnce(
       [](const std::string &, int) {
         return answer("200 OK", R"({"Ver":412,"NowS":51.2})");
       },
       &Request);
-  CHECK(Reply.m_End == TableEnd::Ok);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Ok);
   REQUIRE(Reply.m_Rows.size() == 1);
   CHECK(Reply.m_Rows[0].m_Version == RowVersion(412));
   CHECK(Request.starts_with("POST /v1/rows-tx HTTP/1.1\r\n"));
@@ -81,36 +81,36 @@
   CHECK(Body["Remove"].empty());
 }
 
-TEST_CASE("a conflict brings the present row") {
+TEST_CASE("the reply to a conflict contains the current row") {
   const TableServiceReply Reply = commitOnce([](const std::string &, int) {
     return answer("412 Precondition Failed",
                   R"({"Rows":[{"Table":"balsamwheel","part":"","Key":"keys/s",
                   "Value":"bm9kZS0x","Ver":9}],"Ver":11})");
   });
-  CHECK(Reply.m_End == TableEnd::Conflict);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Conflict);
   REQUIRE(Reply.m_Rows.size() == 1);
   CHECK(*Reply.m_Rows[0].m_Value == "node-1");
 }
 
-TEST_CASE("only an answer tells that nothing was done") {
+TEST_CASE("a call is refused only by a valid answer, else unanswered") {
   CHECK(commitOnce([](const std::string &, int) {
           return answer("503 Busy", "");
-        }).m_End == TableEnd::Refused);
+        }).m_CallOutcome == TableCallOutcome::Refused);
   CHECK(commitOnce([](const std::string &, int) {
           return answer("429 Too Many", "");
-        }).m_End == TableEnd::Refused);
+        }).m_CallOutcome == TableCallOutcome::Refused);
   CHECK(commitOnce([](const std::string &, int) {
           return RawReply{.m_Bytes = "HTTP/1.1 200", .m_Close = true};
-        }).m_End == TableEnd::Unanswered);
+        }).m_CallOutcome == TableCallOutcome::Unanswered);
   CHECK(commitOnce([](const std::string &, int) {
           return answer("200 OK", "not JSON");
-        }).m_End == TableEnd::Unanswered);
+        }).m_CallOutcome == TableCallOutcome::Unanswered);
   CHECK(commitOnce([](const std::string &, int) {
           return RawReply{.m_Silent = true};
-        }).m_End == TableEnd::Unanswered);
+        }).m_CallOutcome == TableCallOutcome::Unanswered);
 }
 
-TEST_CASE("a watch tells changes, removals and lost history") {
+TEST_CASE("a watch returns changes, removals and lost history") {
   StoreRig Rig([](const std::string &Request, int) {
     if (Request.find("after=5&") != std::string::npos)
       return answer("410 Gone", "{}");
@@ -125,16 +125,16 @@
       Store.watch(TableName::Operators, RowVersion(After), 2s, Done);
     });
   };
-  CHECK(Watch(5).m_End == TableEnd::HistoryLost);
+  CHECK(Watch(5).m_CallOutcome == TableCallOutcome::HistoryLost);
   const TableServiceReply Reply = Watch(530);
-  CHECK(Reply.m_End == TableEnd::Ok);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Ok);
   CHECK(Reply.m_Version == RowVersion(533));
   REQUIRE(Reply.m_Rows.size() == 2);
   CHECK(*Reply.m_Rows[0].m_Value == "{}");
   CHECK_FALSE(Reply.m_Rows[1].m_Value.has_value());
 }
 
-TEST_CASE("a table of more than one page is read whole, as of its first page") {
+TEST_CASE("all pages of a table are read, as of the version of the first") {
   StoreRig Rig([](const std::string &Request, int) {
     nlohmann::json Body{{"Rows", nlohmann::json::array()}};
     const bool First = Request.find("From=") == std::string::npos;
@@ -151,7 +151,7 @@
   });
   const TableServiceReply Reply =
       Rig.run([](auto &Store, auto Done) { Store.read(TableName::Own, Done); });
-  CHECK(Reply.m_End == TableEnd::Ok);
+  CHECK(Reply.m_CallOutcome == TableCallOutcome::Ok);
   CHECK(Reply.m_Version == RowVersion(600));
   CHECK(Reply.m_Rows.size() == 503);
   CHECK(Rig.m_Server.requests().back().find("From=member%2F1499") !=
--- a/tests/unit-table-follower.cpp
+++ b/tests/unit-table-follower.cpp
@@ -1,4 +1,4 @@
-// Following the platform's table: the pace at which changes are read.
+// Rate at which changes of the platform's table are read.
 #include "fake_table_service.h"
 #include "router/table_follower.h"
 
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// A table in which one row changes as often as it is read.
-class RestlessTable : public TableService {
+/// A table in which a row changes whenever it is read.
+class ChangingTable : public TableService {
 public:
-  RestlessTable(EventLoop &Loop, std::size_t RowSize)
+  ChangingTable(EventLoop &Loop, std::size_t RowSize)
       : m_Loop(Loop), m_RowSize(RowSize) {}
 
   void read(TableName /*Table*/, OnReply Done) override { reply(Done); }
@@ -32,7 +32,7 @@
 
 private:
   void reply(const OnReply &Done) {
-    TableServiceReply Reply{.m_End = TableEnd::Ok,
+    TableServiceReply Reply{.m_CallOutcome = TableCallOutcome::Ok,
                             .m_Version = RowVersion(++m_Version)};
     Reply.m_Rows.push_back({.m_Table = TableName::Operators,
                             .m_Key = RowKey("config"),
@@ -46,12 +46,12 @@
   std::uint64_t m_Version = 0;
 };
 
-/// Time in which the table is watched six times.
-std::chrono::steady_clock::duration timeOfWatches(double BytesPerSecond,
-                                                  std::size_t RowSize) {
-  EventLoop Loop({.m_LongestSleep = 5ms});
+/// Time needed for six watches of the operators' table.
+std::chrono::steady_clock::duration timeForSixWatches(double BytesPerSecond,
+                                                      std::size_t RowSize) {
+  EventLoop Loop({.m_MaxSleep = 5ms});
   EventLog Log(Loop, {.m_Output = -1});
-  RestlessTable Table(Loop, RowSize);
+  ChangingTable Table(Loop, RowSize);
   TableFollower Follower(Loop, Log, Table, {.m_BytesPerSecond = BytesPerSecond},
                          1, [](const MirroredRow &) {});
   const auto Began = std::chrono::steady_clock::now();
@@ -65,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("large rows that change often are read at the link's pace") {
-  // Five pauses of 100 ms.
-  CHECK(timeOfWatches(2e6, 200000) >= 500ms);
+TEST_CASE("large rows that change often are read within the bandwidth limit") {
+  // Five delays of 100 ms.
+  CHECK(timeForSixWatches(2e6, 200000) >= 500ms);
 }
